--- a/src/callers.rs
+++ b/src/callers.rs
@@ -12,8 +12,8 @@
 mod limit;
 
 pub(crate) use context::CallerInput;
-pub(crate) use context::{CallerContext, RouterDesk};
-pub(crate) use duty::CallerDuty;
+pub(crate) use context::{CallerContext, RouterState};
+pub(crate) use duty::CallerLoop;
 pub(crate) use limit::collect;
 
 /// Header that carries a request's number to the upstream and back.
--- a/src/callers/admit.rs
+++ b/src/callers/admit.rs
@@ -16,7 +16,7 @@
 use crate::callers::limit::CollectedBody;
 use crate::ledger::{KeyState, StoredAnswer};
 use crate::message::{ClientAnswer, ClientCall, KeyAnswer};
-use crate::problem::{ProblemDetails, RAN_HEADER, RanState, full};
+use crate::problem::{ProblemDetails, RAN_HEADER, RunState, full};
 
 /// Longest time to make a key durable.
 const RESERVE_TIME: Duration = Duration::from_secs(4);
@@ -120,25 +120,25 @@
     if let Some(kind) = kind {
         headers.insert(CONTENT_TYPE, kind);
     }
-    headers.insert(RAN_HEADER, HeaderValue::from_static(RanState::Yes.label()));
+    headers.insert(RAN_HEADER, HeaderValue::from_static(RunState::Yes.label()));
     headers.insert("kelplink-replayed", HeaderValue::from_static("true"));
     response
 }
 
 fn unknown() -> ProblemDetails {
     let detail = "a request with this key was sent before; it may be running or have run";
-    ProblemDetails::new(StatusCode::CONFLICT, "already sent", detail).ran(RanState::Unknown)
+    ProblemDetails::new(StatusCode::CONFLICT, "already sent", detail).ran(RunState::Unknown)
 }
 
 fn mismatch() -> ProblemDetails {
     let detail = "this key was used for another request";
     ProblemDetails::new(StatusCode::UNPROCESSABLE_ENTITY, "key used before", detail)
-        .ran(RanState::No)
+        .ran(RunState::No)
 }
 
 fn not_reserved() -> ProblemDetails {
     let detail = "the key cannot be made durable now, so the request was not sent";
     ProblemDetails::new(StatusCode::SERVICE_UNAVAILABLE, "not run", detail)
-        .ran(RanState::No)
+        .ran(RunState::No)
         .retry_after(RETRY_AFTER)
 }
--- a/src/callers/context.rs
+++ b/src/callers/context.rs
@@ -12,7 +12,7 @@
 
 use crate::client::HttpClient;
 use crate::config::ConfigRevision;
-use crate::entry::CallDesk;
+use crate::entry::ControlHandle;
 use crate::id::{DomainId, EntryId, ServiceId, UpstreamId};
 use crate::intent::Urgency;
 use crate::routing::{RequestRouter, RouteAction, ShareGrant};
@@ -26,7 +26,7 @@
     /// Upstreams that are leaving.
     Leaving(BTreeSet<UpstreamId>),
     /// Other entries with free slots by service.
-    Rooms(BTreeMap<ServiceId, Vec<EntryId>>),
+    PeerSlots(BTreeMap<ServiceId, Vec<EntryId>>),
     /// A configuration in force.
     Config(Arc<ConfigRevision>),
     /// Tell the router's state.
@@ -39,29 +39,29 @@
 
 /// The router with those who wait for its word.
 #[derive(Debug)]
-pub(crate) struct RouterDesk {
+pub(crate) struct RouterState {
     pub(crate) router: RequestRouter,
     pub(crate) waiting: BTreeMap<u64, oneshot::Sender<RouteAction>>,
-    pub(crate) rooms: BTreeMap<ServiceId, Vec<EntryId>>,
+    pub(crate) peer_slots: BTreeMap<ServiceId, Vec<EntryId>>,
     /// Connections by upstream; renewed when one goes silent.
     pub(crate) pools: BTreeMap<UpstreamId, HttpClient>,
     /// The configuration in force.
     pub(crate) config: Arc<ConfigRevision>,
 }
 
-impl RouterDesk {
+impl RouterState {
     pub(crate) fn new(router: RequestRouter) -> Self {
         Self {
             router,
             waiting: BTreeMap::new(),
-            rooms: BTreeMap::new(),
+            peer_slots: BTreeMap::new(),
             pools: BTreeMap::new(),
             config: Arc::default(),
         }
     }
 
     /// Passes the router's word on to those who wait for it.
-    pub(crate) fn pass_on(&mut self, actions: Vec<RouteAction>) {
+    pub(crate) fn notify_waiters(&mut self, actions: Vec<RouteAction>) {
         for action in actions {
             let id = match &action {
                 RouteAction::Send(id, _) | RouteAction::Reject(id, ..) => *id,
@@ -74,7 +74,7 @@
                 let outcome = crate::routing::RouteOutcome::Abandoned;
                 let time = std::time::Duration::ZERO;
                 let more = self.router.finish(Instant::now(), &spec.id, outcome, time);
-                self.pass_on(more);
+                self.notify_waiters(more);
             }
         }
     }
@@ -92,13 +92,13 @@
 pub(crate) struct CallerContext {
     pub(crate) entry: EntryId,
     pub(crate) boot: u64,
-    pub(crate) desk: Arc<Mutex<RouterDesk>>,
-    pub(crate) calls: CallDesk,
+    pub(crate) router_state: Arc<Mutex<RouterState>>,
+    pub(crate) calls: ControlHandle,
     pub(crate) limits: LimitSettings,
     pub(crate) next_request: Arc<AtomicU64>,
     pub(crate) peers: Arc<BTreeMap<EntryId, SocketAddr>>,
     /// Connections to other entries.
-    pub(crate) handed: HttpClient,
+    pub(crate) peer_client: HttpClient,
     /// All failure domains.
     pub(crate) domains: Arc<[DomainId]>,
 }
@@ -109,13 +109,13 @@
 
 impl CallerContext {
     /// The router; a thread that panicked while it held it leaves it usable.
-    pub(crate) fn desk(&self) -> MutexGuard<'_, RouterDesk> {
-        self.desk.lock().unwrap_or_else(PoisonError::into_inner)
+    pub(crate) fn router_state(&self) -> MutexGuard<'_, RouterState> {
+        self.router_state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// What the intent of a service says; `None` where there is no such intent.
     pub(crate) fn defaults(&self, service: &ServiceId) -> Option<ServiceDefaults> {
-        let config = self.desk().config.clone();
+        let config = self.router_state().config.clone();
         let intent = config.intents.get(service)?;
         Some(ServiceDefaults { urgency: intent.spec.urgency, idempotent: intent.spec.idempotent })
     }
--- a/src/callers/dispatch.rs
+++ b/src/callers/dispatch.rs
@@ -27,7 +27,7 @@
 use crate::client::{ClientError, HttpClient};
 use crate::id::EntryId;
 use crate::ledger::{KeyState, StoredAnswer};
-use crate::problem::{ProblemDetails, RAN_HEADER, RanState, full};
+use crate::problem::{ProblemDetails, RAN_HEADER, RunState, full};
 use crate::routing::{RejectReason, RequestTicket, RouteAction, RouteOutcome, UpstreamSpec};
 
 /// Attempts at one request.
@@ -89,7 +89,7 @@
         let handle = tokio::spawn(dispatch.run());
         let response = match handle.await {
             Ok(response) => response,
-            Err(_) => failed("the request's task ended", RanState::Unknown),
+            Err(_) => failed("the request's task ended", RunState::Unknown),
         };
         if let Some(reservation) = &admission.0 {
             reservation.complete(&context, key_state(&response));
@@ -149,7 +149,7 @@
             match end {
                 AttemptEnd::Answered(response) => return response,
                 AttemptEnd::NotRun(detail) if !self.may_retry() => {
-                    return failed(&detail, RanState::No);
+                    return failed(&detail, RunState::No);
                 }
                 AttemptEnd::NotRun(detail) => {
                     info!(request:% = self.id; "not run, again: {detail}")
@@ -157,7 +157,7 @@
                 AttemptEnd::Unknown(detail, ended) => {
                     let again = self.identity.idempotent && ended < self.identity.deadline;
                     if !again || !self.may_retry() {
-                        return failed(&detail, RanState::Unknown);
+                        return failed(&detail, RunState::Unknown);
                     }
                     sleep_until(ended).await;
                 }
@@ -167,7 +167,7 @@
 
     fn may_retry(&self) -> bool {
         let time_left = Instant::now() < self.identity.deadline;
-        time_left && self.attempt < MAX_ATTEMPTS && self.context.desk().router.spend_retry()
+        time_left && self.attempt < MAX_ATTEMPTS && self.context.router_state().router.spend_retry()
     }
 
     /// Asks the router for a slot and waits for its word.
@@ -181,22 +181,22 @@
         };
         let receiver = {
             let (sender, receiver) = oneshot::channel();
-            let mut desk = self.context.desk();
-            desk.waiting.insert(self.id, sender);
+            let mut router_state = self.context.router_state();
+            router_state.waiting.insert(self.id, sender);
             let started = std::time::Instant::now();
-            let actions = desk.router.arrive(Instant::now(), ticket.clone());
+            let actions = router_state.router.arrive(Instant::now(), ticket.clone());
             let seconds = started.elapsed().as_secs_f64();
             metrics::histogram!("kelplink_route_seconds").record(seconds);
-            desk.pass_on(actions);
+            router_state.notify_waiters(actions);
             receiver
         };
         match timeout_at(self.identity.deadline + LIMIT_MARGIN, receiver).await {
             Ok(Ok(RouteAction::Send(_, spec))) => Ok(spec),
             Ok(Ok(RouteAction::Reject(_, reason, advice))) => Err((reason, advice)),
             _ => {
-                let mut desk = self.context.desk();
-                desk.waiting.remove(&self.id);
-                desk.router.abandon(&ticket);
+                let mut router_state = self.context.router_state();
+                router_state.waiting.remove(&self.id);
+                router_state.router.abandon(&ticket);
                 Err((RejectReason::DeadlinePassed, RETRY_AFTER))
             }
         }
@@ -205,13 +205,13 @@
     async fn attempt_at(&self, spec: &UpstreamSpec) -> AttemptEnd {
         let pool = self
             .context
-            .desk()
+            .router_state()
             .pools
             .entry(spec.id.clone())
             .or_insert_with(HttpClient::new)
             .clone();
         let started = Instant::now();
-        let limit = self.context.desk().router.attempt_limit();
+        let limit = self.context.router_state().router.attempt_limit();
         let left = self.identity.deadline.saturating_duration_since(started);
         let limit = limit.min(left).max(Duration::from_millis(1));
         let ended = started + limit + LIMIT_MARGIN;
@@ -238,20 +238,20 @@
         if matches!(end, AttemptEnd::Unknown(..)) {
             // Its connections may be dead without knowing it; the slot stays in use until the
             // attempt must have ended.
-            self.context.desk().pools.remove(&spec.id);
+            self.context.router_state().pools.remove(&spec.id);
             metrics::counter!("kelplink_pools_renewed_total").increment(1);
             let (context, id) = (self.context.clone(), spec.id.clone());
             tokio::spawn(async move {
                 sleep_until(ended).await;
-                let mut desk = context.desk();
-                let actions = desk.router.finish(Instant::now(), &id, outcome, time);
-                desk.pass_on(actions);
+                let mut router_state = context.router_state();
+                let actions = router_state.router.finish(Instant::now(), &id, outcome, time);
+                router_state.notify_waiters(actions);
             });
             return end;
         }
-        let mut desk = self.context.desk();
-        let actions = desk.router.finish(Instant::now(), &spec.id, outcome, time);
-        desk.pass_on(actions);
+        let mut router_state = self.context.router_state();
+        let actions = router_state.router.finish(Instant::now(), &spec.id, outcome, time);
+        router_state.notify_waiters(actions);
         end
     }
 
@@ -294,7 +294,7 @@
         *answer.status_mut() = parts.status;
         let headers = answer.headers_mut();
         copy_headers(&parts.headers, headers);
-        headers.insert(RAN_HEADER, HeaderValue::from_static(RanState::Yes.label()));
+        headers.insert(RAN_HEADER, HeaderValue::from_static(RunState::Yes.label()));
         answer
     }
 
@@ -302,12 +302,15 @@
     async fn rejected(&self, reason: RejectReason, advice: Duration) -> Response<Bytes> {
         let elsewhere = matches!(reason, RejectReason::NoUpstream | RejectReason::Overloaded);
         if elsewhere && !self.identity.handed_over {
-            let entries = self.context.desk().rooms.get(&self.identity.service).cloned();
+            let entries =
+                self.context.router_state().peer_slots.get(&self.identity.service).cloned();
             for entry in entries.unwrap_or_default().iter().take(2) {
                 match self.hand_over(entry).await {
                     AttemptEnd::Answered(response) => return response,
                     AttemptEnd::NotRun(detail) => debug!("{entry} was not reached: {detail}"),
-                    AttemptEnd::Unknown(detail, _) => return failed(&detail, RanState::Unknown),
+                    AttemptEnd::Unknown(detail, _) => {
+                        return failed(&detail, RunState::Unknown);
+                    }
                 }
             }
         }
@@ -319,7 +322,7 @@
         };
         let detail = format!("the request to {} was not run", self.identity.service);
         let problem = ProblemDetails::new(status, title, detail);
-        problem.ran(RanState::No).retry_after(advice).bytes_response()
+        problem.ran(RunState::No).retry_after(advice).bytes_response()
     }
 
     /// Hands the request to another entry, which answers as it would its own caller.
@@ -345,7 +348,7 @@
         headers.insert(DEADLINE_HEADER, HeaderValue::from(millis));
         metrics::counter!("kelplink_handed_over_total").increment(1);
         let most = self.context.limits.answer_bytes;
-        match self.context.handed.send(request, left + LIMIT_MARGIN, most).await {
+        match self.context.peer_client.send(request, left + LIMIT_MARGIN, most).await {
             Ok(response) => judge_handed(response),
             Err(ClientError::NotSent(detail) | ClientError::Refused(detail)) => {
                 AttemptEnd::NotRun(detail)
@@ -393,14 +396,14 @@
     HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static("-"))
 }
 
-fn failed(detail: &str, ran: RanState) -> Response<Bytes> {
+fn failed(detail: &str, ran: RunState) -> Response<Bytes> {
     let (status, title) = match ran {
-        RanState::No => (StatusCode::SERVICE_UNAVAILABLE, "not run"),
+        RunState::No => (StatusCode::SERVICE_UNAVAILABLE, "not run"),
         _ => (StatusCode::BAD_GATEWAY, "may have run"),
     };
     let problem = ProblemDetails::new(status, title, detail).ran(ran);
     let problem = match ran {
-        RanState::No => problem.retry_after(RETRY_AFTER),
+        RunState::No => problem.retry_after(RETRY_AFTER),
         _ => problem,
     };
     problem.bytes_response()
--- a/src/callers/duty.rs
+++ b/src/callers/duty.rs
@@ -44,12 +44,12 @@
 ];
 
 /// The thread that answers callers.
-pub(crate) struct CallerDuty {
+pub(crate) struct CallerLoop {
     context: CallerContext,
     input: RingReceiver<CallerInput>,
 }
 
-impl CallerDuty {
+impl CallerLoop {
     pub(crate) fn new(context: CallerContext, input: RingReceiver<CallerInput>) -> Self {
         Self { context, input }
     }
@@ -104,22 +104,22 @@
 
     fn take(&self, input: CallerInput) {
         let now = Instant::now();
-        let mut desk = self.context.desk();
+        let mut router_state = self.context.router_state();
         match input {
             CallerInput::Grant(grant) => {
-                let actions = desk.router.apply(now, &grant);
-                desk.pass_on(actions);
+                let actions = router_state.router.apply(now, &grant);
+                router_state.notify_waiters(actions);
             }
-            CallerInput::Leaving(leaving) => desk.router.set_leaving(leaving),
-            CallerInput::Rooms(rooms) => desk.rooms = rooms,
-            CallerInput::Config(config) => desk.config = config,
+            CallerInput::Leaving(leaving) => router_state.router.set_leaving(leaving),
+            CallerInput::PeerSlots(peer_slots) => router_state.peer_slots = peer_slots,
+            CallerInput::Config(config) => router_state.config = config,
             CallerInput::Dump(sender) => {
                 let _ = sender.send(json!({
-                    "waiting": desk.router.waiting(),
-                    "in_use": desk.router.in_use(),
-                    "free_slots": desk.router.free_slots(now),
-                    "entries_with_room": desk.rooms,
-                    "pools": desk.pools.len(),
+                    "waiting": router_state.router.waiting(),
+                    "in_use": router_state.router.in_use(),
+                    "free_slots": router_state.router.free_slots(now),
+                    "entries_with_room": router_state.peer_slots,
+                    "pools": router_state.pools.len(),
                 }));
             }
             CallerInput::Stop | CallerInput::Kill => {}
@@ -128,15 +128,15 @@
 
     fn tick(&self, since_report: &mut u32) {
         let now = Instant::now();
-        let mut desk = self.context.desk();
-        let actions = desk.router.tick(now);
-        desk.pass_on(actions);
-        let calm = desk.router.waiting() == 0 && desk.router.holds_shares(now);
+        let mut router_state = self.context.router_state();
+        let actions = router_state.router.tick(now);
+        router_state.notify_waiters(actions);
+        let calm = router_state.router.waiting() == 0 && router_state.router.holds_shares(now);
         let due = if calm { CALM_TICKS } else { BUSY_TICKS };
         if *since_report >= due {
             *since_report = 0;
-            let report = desk.router.report(now);
-            let free = desk.router.free_slots(now);
+            let report = router_state.router.report(now);
+            let free = router_state.router.free_slots(now);
             self.context.calls.tell(DomainEvent::Demand(report, free));
         }
     }
--- a/src/callers/identify.rs
+++ b/src/callers/identify.rs
@@ -17,7 +17,7 @@
 use crate::id::{ServiceId, WorkspaceId};
 use crate::intent::Urgency;
 use crate::intent_file::is_name;
-use crate::problem::{ProblemDetails, RanState};
+use crate::problem::{ProblemDetails, RunState};
 
 /// How long a caller waits who does not say.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
@@ -60,7 +60,7 @@
                 chain(state)
             }
             Err(problem) => {
-                let response = problem.ran(RanState::No).response();
+                let response = problem.ran(RunState::No).response();
                 Box::pin(async move { Ok((state, response)) })
             }
         }
@@ -73,9 +73,9 @@
     let (workspace, name, target) = split_path(Uri::borrow_from(state))?;
     let service: ServiceId = format!("{workspace}/{name}").into();
     let defaults = context.defaults(&service);
-    let known = defaults.is_some() || context.desk().router.serves(&service);
-    let elsewhere = context.desk().rooms.contains_key(&service);
-    if !known && !context.desk().router.supplied() {
+    let known = defaults.is_some() || context.router_state().router.serves(&service);
+    let elsewhere = context.router_state().peer_slots.contains_key(&service);
+    if !known && !context.router_state().router.supplied() {
         let detail = "this entry has no slots yet";
         let problem = ProblemDetails::new(StatusCode::SERVICE_UNAVAILABLE, "not ready", detail);
         return Err(problem.retry_after(NOT_READY_RETRY));
--- a/src/callers/jobs.rs
+++ b/src/callers/jobs.rs
@@ -13,7 +13,7 @@
 use crate::callers::limit::collect;
 use crate::intent_file::{MAX_TASKS, is_name};
 use crate::message::{CallRefusal, ClientAnswer, ClientCall, JobRequest};
-use crate::problem::{ProblemDetails, RanState, json_response};
+use crate::problem::{ProblemDetails, RunState, json_response};
 
 /// Longest time for an answer.
 const ANSWER_TIME: Duration = Duration::from_secs(5);
@@ -88,7 +88,7 @@
 
 fn submit(workspace: &str, bytes: &[u8]) -> Result<ClientCall, ProblemDetails> {
     let body: SubmitBody = serde_json::from_slice(bytes).map_err(|error| {
-        ProblemDetails::new(StatusCode::BAD_REQUEST, "bad job", error.to_string()).ran(RanState::No)
+        ProblemDetails::new(StatusCode::BAD_REQUEST, "bad job", error.to_string()).ran(RunState::No)
     })?;
     let count_fits = body.count.is_none_or(|count| (1..=MAX_TASKS).contains(&u64::from(count)));
     let fault = match () {
@@ -100,7 +100,7 @@
     };
     if let Some(fault) = fault {
         let problem = ProblemDetails::new(StatusCode::BAD_REQUEST, "bad job", fault);
-        return Err(problem.ran(RanState::No));
+        return Err(problem.ran(RunState::No));
     }
     Ok(ClientCall::Submit(JobRequest {
         id: format!("{workspace}/{}", body.id).into(),
@@ -127,7 +127,7 @@
 }
 
 fn problem(refusal: &CallRefusal) -> ProblemDetails {
-    let no = RanState::No;
+    let no = RunState::No;
     match refusal {
         CallRefusal::NoLeader => later("no leader of its failure domain can be reached").ran(no),
         CallRefusal::StoreDown => later("the platform's store cannot be reached").ran(no),
@@ -145,7 +145,7 @@
         CallRefusal::Unknown => {
             let detail = "no answer in time; ask for the job or repeat the call with the same id";
             ProblemDetails::new(StatusCode::GATEWAY_TIMEOUT, "not known", detail)
-                .ran(RanState::Unknown)
+                .ran(RunState::Unknown)
                 .retry_after(RETRY_AFTER)
         }
     }
--- a/src/callers/limit.rs
+++ b/src/callers/limit.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 use crate::callers::context::CallerContext;
-use crate::problem::{ProblemDetails, RanState};
+use crate::problem::{ProblemDetails, RunState};
 use crate::settings::LimitSettings;
 
 /// The body of a request.
@@ -39,7 +39,7 @@
                     chain(state).await
                 }
                 Err(problem) => {
-                    let response = problem.ran(RanState::No).response();
+                    let response = problem.ran(RunState::No).response();
                     Ok((state, response))
                 }
             }
--- a/src/command.rs
+++ b/src/command.rs
@@ -17,8 +17,8 @@
 use crate::client::HttpClient;
 use crate::config::{PlanAction, PlanDocument};
 use crate::demo::{DemoSettings, run_demo};
+use crate::diagnostic::DiagnosticList;
 use crate::entry::EntryProcess;
-use crate::finding::FindingList;
 use crate::logging::{LogIdentity, start_logging};
 use crate::message::{JobView, StatusView};
 use crate::node::NodeProcess;
@@ -107,7 +107,7 @@
     String::from_utf8(bytes).with_context(|| format!("{} is not UTF-8", path.display()))
 }
 
-fn load_settings(path: &Path) -> Result<std::result::Result<EntrySettings, FindingList>> {
+fn load_settings(path: &Path) -> Result<std::result::Result<EntrySettings, DiagnosticList>> {
     let text = read(path)?;
     Ok(EntrySettings::parse(&path.display().to_string(), &text))
 }
@@ -248,8 +248,8 @@
     match response.status() {
         StatusCode::OK => {}
         StatusCode::UNPROCESSABLE_ENTITY => {
-            let mut findings: FindingList = serde_json::from_slice(response.body())?;
-            findings.0.iter_mut().for_each(|finding| finding.source.clone_from(&plan.intent));
+            let mut findings: DiagnosticList = serde_json::from_slice(response.body())?;
+            findings.0.iter_mut().for_each(|diagnostic| diagnostic.source.clone_from(&plan.intent));
             eprint!("{findings}");
             return Ok(ExitCode::from(EXIT_FAILED));
         }
--- a/src/config/controller.rs
+++ b/src/config/controller.rs
@@ -121,7 +121,7 @@
     }
 
     /// The watch or a read showed the head.
-    pub fn see_head(&mut self, stored: Option<&StoredValue>) -> Vec<ConfigOutput> {
+    pub fn on_head(&mut self, stored: Option<&StoredValue>) -> Vec<ConfigOutput> {
         self.learned = true;
         let Some(stored) = stored else {
             self.head = self.head.or(Some(0));
@@ -140,13 +140,13 @@
     }
 
     /// A peer sent its configuration.
-    pub fn hear_config(&mut self, config: ConfigRevision) -> Vec<ConfigOutput> {
+    pub fn on_config(&mut self, config: ConfigRevision) -> Vec<ConfigOutput> {
         self.peers_heard = true;
         self.adopt(config)
     }
 
     /// A peer told which revision it has.
-    pub fn hear_revision(&mut self, peer: &EntryId, revision: Revision) -> Vec<ConfigOutput> {
+    pub fn on_peer_revision(&mut self, peer: &EntryId, revision: Revision) -> Vec<ConfigOutput> {
         let own = self.current().revision;
         match revision {
             higher if higher > own => vec![ConfigOutput::Ask(peer.clone())],
@@ -322,7 +322,7 @@
         domains: &[DomainId],
     ) -> Vec<ConfigOutput> {
         let before = self.head;
-        let mut outputs = self.see_head(Some(stored));
+        let mut outputs = self.on_head(Some(stored));
         let Some(confirm) = self.confirm.clone() else {
             return outputs;
         };
--- a/src/config/plan.rs
+++ b/src/config/plan.rs
@@ -257,7 +257,7 @@
         return None;
     }
     let largest =
-        summaries.iter().fold(ResourceVector::default(), |most, s| most.each_max(&s.largest));
+        summaries.iter().fold(ResourceVector::default(), |most, s| most.component_max(&s.largest));
     if let Some(resource) = spec.need.exceeds(&largest) {
         return Some(format!(
             "one task needs more {resource} than the largest worker, {largest:?}"
--- a/src/finding.rs
+++ b/src/diagnostic.rs
@@ -7,7 +7,7 @@
 /// One mistake in a text: where it is, what was found and what was expected.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct InputFinding {
+pub struct InputDiagnostic {
     /// Name of the file or interface that the text came from.
     pub source: String,
     /// Line, from 1.
@@ -18,7 +18,7 @@
     pub message: String,
 }
 
-impl InputFinding {
+impl InputDiagnostic {
     /// Makes a finding at a byte offset of `text`.
     pub(crate) fn at(source: &str, text: &str, offset: usize, message: String) -> Self {
         let before = &text[..text.floor_char_boundary(offset.min(text.len()))];
@@ -28,7 +28,7 @@
     }
 }
 
-impl Display for InputFinding {
+impl Display for InputDiagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}: {}", self.source, self.line, self.column, self.message)
     }
@@ -37,15 +37,15 @@
 /// All findings about one text.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct FindingList(pub Vec<InputFinding>);
+pub struct DiagnosticList(pub Vec<InputDiagnostic>);
 
-impl Display for FindingList {
+impl Display for DiagnosticList {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for finding in &self.0 {
-            writeln!(f, "{finding}")?;
+        for diagnostic in &self.0 {
+            writeln!(f, "{diagnostic}")?;
         }
         Ok(())
     }
 }
 
-impl std::error::Error for FindingList {}
+impl std::error::Error for DiagnosticList {}
--- a/src/domain/controller.rs
+++ b/src/domain/controller.rs
@@ -159,7 +159,7 @@
             DomainEvent::Tick => self.tick(now),
             DomainEvent::Store(owner, id, outcome) => self.store_answer(now, owner, id, outcome),
             DomainEvent::Head(stored) => {
-                let outputs = self.config.see_head(stored.as_ref());
+                let outputs = self.config.on_head(stored.as_ref());
                 self.config_outputs(now, outputs);
             }
             DomainEvent::Worker(worker, id, reply) => {
@@ -545,7 +545,7 @@
                     self.drop_endpoint(&task);
                 }
                 FleetOutput::Outranked(token) => {
-                    let actions = self.leadership.hear_token(now, &token);
+                    let actions = self.leadership.on_token(now, &token);
                     self.leadership_actions(now, actions);
                 }
                 FleetOutput::Silent(worker, silent) => {
@@ -555,7 +555,7 @@
                     };
                     self.close_workers();
                 }
-                FleetOutput::Lapsed(worker) => {
+                FleetOutput::LeaseExpired(worker) => {
                     warn!("worker {worker} is lost: its leases have lapsed");
                     if let Some(leader) = &mut self.leader {
                         leader.scheduler.remove_worker(now, &worker);
--- a/src/domain/event.rs
+++ b/src/domain/event.rs
@@ -148,7 +148,7 @@
     /// Upstreams that are leaving, for the own router.
     Leaving(BTreeSet<UpstreamId>),
     /// Other entries with free slots by service, for the own router; most first.
-    Rooms(BTreeMap<ServiceId, Vec<EntryId>>),
+    PeerSlots(BTreeMap<ServiceId, Vec<EntryId>>),
 }
 
 /// Time of day together with the runtime's clock.
--- a/src/domain/jobs.rs
+++ b/src/domain/jobs.rs
@@ -405,7 +405,7 @@
             self.forget_when_durable(worker, report);
         }
         let leader = self.leader.as_ref();
-        if let Some(at) = leader.and_then(|leader| leader.scheduler.next_look(now, worker)) {
+        if let Some(at) = leader.and_then(|leader| leader.scheduler.next_check(now, worker)) {
             self.fleet.look_at(worker, at);
         }
     }
--- a/src/domain/moves.rs
+++ b/src/domain/moves.rs
@@ -24,7 +24,7 @@
 use crate::store::StoreOutcome;
 
 /// Silence of a failure domain before its tasks are taken over.
-const SILENCE: Duration = Duration::from_secs(5);
+const SILENCE_LIMIT: Duration = Duration::from_secs(5);
 /// Added to every bound on another machine's clock.
 const MARGIN: Duration = Duration::from_millis(1_000);
 /// Interval between questions for a hold.
@@ -289,7 +289,7 @@
         let silent = self.moves.others.iter().find(|domain| {
             let heard = self.peers.leader_heard(domain).unwrap_or(since).max(since);
             let again = self.moves.look_again.get(*domain).is_none_or(|at| now >= *at);
-            any && again && now >= heard + SILENCE
+            any && again && now >= heard + SILENCE_LIMIT
         });
         silent.cloned()
     }
--- a/src/domain/peers.rs
+++ b/src/domain/peers.rs
@@ -12,7 +12,8 @@
 use crate::id::{CallId, DomainId, EntryId, ServiceId};
 use crate::ledger::LedgerRecord;
 use crate::message::{
-    ClientAnswer, ClientCall, EntryStatus, LeaderNews, PROTOCOL_VERSION, PeerHello, PeerMessage,
+    ClientAnswer, ClientCall, EntryStatus, LeaderStatus, PROTOCOL_VERSION, PeerHeartbeat,
+    PeerMessage,
 };
 use crate::routing::DemandReport;
 use crate::token::FencingToken;
@@ -32,7 +33,7 @@
 struct PeerState {
     domain: DomainId,
     heard: Option<Instant>,
-    hello: Option<PeerHello>,
+    hello: Option<PeerHeartbeat>,
     /// Free slots by service as last told.
     free_slots: BTreeMap<ServiceId, u32>,
     next_hello: Instant,
@@ -59,7 +60,7 @@
     /// Free slots of the own router by service.
     own_room: BTreeMap<ServiceId, u32>,
     /// Entries with room as last told to the own router.
-    rooms: BTreeMap<ServiceId, Vec<EntryId>>,
+    peer_slots: BTreeMap<ServiceId, Vec<EntryId>>,
 }
 
 impl PeerTable {
@@ -83,7 +84,7 @@
             warm: None,
             warm_seq: 0,
             own_room: BTreeMap::new(),
-            rooms: BTreeMap::new(),
+            peer_slots: BTreeMap::new(),
         }
     }
 
@@ -175,18 +176,21 @@
     }
 
     /// Entries with free slots for a service, most first.
-    pub(crate) fn entries_with_room(&self, now: Instant) -> BTreeMap<ServiceId, Vec<EntryId>> {
-        let mut rooms: BTreeMap<ServiceId, Vec<(u32, EntryId)>> = BTreeMap::new();
+    pub(crate) fn entries_with_free_slots(
+        &self,
+        now: Instant,
+    ) -> BTreeMap<ServiceId, Vec<EntryId>> {
+        let mut peer_slots: BTreeMap<ServiceId, Vec<(u32, EntryId)>> = BTreeMap::new();
         for (entry, state) in &self.peers {
             let draining = state.hello.as_ref().is_some_and(|hello| hello.draining);
             if !self.fresh(now, state) || draining {
                 continue;
             }
             for (service, free) in &state.free_slots {
-                rooms.entry(service.clone()).or_default().push((*free, entry.clone()));
+                peer_slots.entry(service.clone()).or_default().push((*free, entry.clone()));
             }
         }
-        let sorted = rooms.into_iter().map(|(service, mut entries)| {
+        let sorted = peer_slots.into_iter().map(|(service, mut entries)| {
             entries.sort_by(|a, b| b.cmp(a));
             (service, entries.into_iter().map(|(_, entry)| entry).collect())
         });
@@ -240,10 +244,10 @@
             for peer in due {
                 let far = self.peers.far(&peer);
                 let free_slots = far.then(|| self.peers.own_room.clone());
-                let hello = PeerHello { free_slots, ..hello.clone() };
+                let hello = PeerHeartbeat { free_slots, ..hello.clone() };
                 self.tell(&peer, PeerMessage::Hello(hello));
             }
-            self.tell_rooms(now);
+            self.send_peer_slots(now);
         }
         for (id, call) in self.peers.overdue_calls(now) {
             self.give_up_call(id, &call);
@@ -251,22 +255,22 @@
     }
 
     /// Tells the own router which entries have room, where that changed.
-    fn tell_rooms(&mut self, now: Instant) {
-        let rooms = self.peers.entries_with_room(now);
-        if rooms != self.peers.rooms {
-            self.peers.rooms.clone_from(&rooms);
-            self.actions.push(DomainAction::Rooms(rooms));
+    fn send_peer_slots(&mut self, now: Instant) {
+        let peer_slots = self.peers.entries_with_free_slots(now);
+        if peer_slots != self.peers.peer_slots {
+            self.peers.peer_slots.clone_from(&peer_slots);
+            self.actions.push(DomainAction::PeerSlots(peer_slots));
         }
     }
 
-    fn hello(&self) -> PeerHello {
-        let leading = self.leader.as_ref().map(|leader| LeaderNews {
+    fn hello(&self) -> PeerHeartbeat {
+        let leading = self.leader.as_ref().map(|leader| LeaderStatus {
             token: leader.token.clone(),
             lease_version: self.leadership.lease_version(),
             summary: self.own_summary().unwrap_or_default(),
             warm_seq: self.peers.warm_seq,
         });
-        PeerHello {
+        PeerHeartbeat {
             protocol: PROTOCOL_VERSION,
             domain: self.identity.domain.clone(),
             boot: self.identity.boot,
@@ -286,7 +290,7 @@
                 self.tell(peer, PeerMessage::Config(config));
             }
             PeerMessage::Config(config) => {
-                let outputs = self.config.hear_config(*config);
+                let outputs = self.config.on_config(*config);
                 self.config_outputs(now, outputs);
             }
             PeerMessage::Demand(report) => self.answer_demand(now, peer, &report),
@@ -306,7 +310,7 @@
         }
     }
 
-    fn hear_hello(&mut self, now: Instant, peer: &EntryId, hello: PeerHello) {
+    fn hear_hello(&mut self, now: Instant, peer: &EntryId, hello: PeerHeartbeat) {
         let own_domain = self.identity.domain.clone();
         let Some(state) = self.peers.peers.get_mut(peer) else {
             return;
@@ -330,18 +334,18 @@
         state.hello = Some(hello);
         let near = state.domain == own_domain;
         if near && led && leading.is_none() {
-            self.leadership.hear_resignation(now);
+            self.leadership.on_resignation(now);
         }
-        let outputs = self.config.hear_revision(peer, revision);
+        let outputs = self.config.on_peer_revision(peer, revision);
         self.config_outputs(now, outputs);
         if let Some(news) = leading.filter(|_| near) {
-            let actions = self.leadership.hear_leader(now, &news.token, news.lease_version);
+            let actions = self.leadership.on_leader(now, &news.token, news.lease_version);
             self.leadership_actions(now, actions);
             self.compare_warm(peer, &news);
         }
     }
 
-    fn compare_warm(&mut self, peer: &EntryId, news: &LeaderNews) {
+    fn compare_warm(&mut self, peer: &EntryId, news: &LeaderStatus) {
         let followed = self.leadership.highest() == Some(&news.token) && self.leader.is_none();
         let current = (news.token.clone(), news.warm_seq);
         if followed && self.peers.warm.as_ref() != Some(&current) {
@@ -469,7 +473,7 @@
         }
         let own = self.identity.domain.clone();
         if self.peers.leader_of(now, &own).as_ref() == Some(peer) && self.peers.mark_gone(peer) {
-            self.leadership.hear_gone(now);
+            self.leadership.on_leader_gone(now);
         }
     }
 }
--- a/src/domain/quota.rs
+++ b/src/domain/quota.rs
@@ -221,15 +221,15 @@
         held: ResourceVector,
         left: ResourceVector,
     ) -> ResourceVector {
-        let least = used.each_max(&floor(quota, self.domains.len()));
+        let least = used.component_max(&floor(quota, self.domains.len()));
         let wanted = self.wanted.get(workspace).copied().unwrap_or_default();
-        let asked = used.saturating_add(&wanted).each_max(&least);
+        let asked = used.saturating_add(&wanted).component_max(&least);
         let recent = self.recent.get(workspace).filter(|(_, at)| now < *at + IDLE_TIME);
-        let kept = recent.map_or(asked, |(recent, _)| asked.each_max(recent));
-        let grown = held.saturating_add(&asked.saturating_sub(&held).each_min(&left));
+        let kept = recent.map_or(asked, |(recent, _)| asked.component_max(recent));
+        let grown = held.saturating_add(&asked.saturating_sub(&held).component_min(&left));
         match self.yielding.contains(workspace) {
-            true => held.each_min(&least).each_max(&used),
-            false => grown.each_min(&kept).each_max(&least.each_min(&grown)),
+            true => held.component_min(&least).component_max(&used),
+            false => grown.component_min(&kept).component_max(&least.component_min(&grown)),
         }
     }
 
@@ -242,7 +242,8 @@
         part: ResourceVector,
     ) -> ResourceVector {
         let least = floor(quota, self.domains.len());
-        let lowered = part.saturating_sub(&part.quarter()).each_max(&least).each_min(&part);
+        let lowered =
+            part.saturating_sub(&part.quarter()).component_max(&least).component_min(&part);
         match self.yielding.contains(workspace) {
             true => lowered,
             false => part,
@@ -317,7 +318,7 @@
                 (Some(_), false) => {
                     let used = leader.scheduler.used().get(&workspace).copied().unwrap_or_default();
                     let part = self.quota.parts.get(&workspace).copied().unwrap_or_default();
-                    let part = part.each_max(&used);
+                    let part = part.component_max(&used);
                     self.quota.parts.insert(workspace.clone(), part);
                     Some(part)
                 }
@@ -417,7 +418,7 @@
         let written = self.own_parts(record);
         for (workspace, part) in &mut self.quota.parts {
             let new = written.get(workspace).copied().unwrap_or_default();
-            *part = part.each_min(&new);
+            *part = part.component_min(&new);
         }
         self.apply_parts();
     }
@@ -436,14 +437,14 @@
         let used = self.used_by(workspace);
         let left = record.left(workspace, quota, &domain, &self.domains);
         let left = left.saturating_sub(&used.saturating_sub(&recorded));
-        let held = recorded.each_max(&used);
-        let least = used.each_max(&floor(quota, self.domains.len()));
+        let held = recorded.component_max(&used);
+        let least = used.component_max(&floor(quota, self.domains.len()));
         match record.behind(unix, workspace, &domain) {
             true => self.quota.yielding.insert(workspace.clone()),
             false => self.quota.yielding.remove(workspace),
         };
         let part = match record.exceeded(workspace, quota) {
-            true => held.each_min(&least),
+            true => held.component_min(&least),
             false => self.quota.target(now, workspace, quota, used, held, left),
         };
         let wants = self.quota.unsatisfied(workspace, &used, &part);
--- a/src/domain/view.rs
+++ b/src/domain/view.rs
@@ -93,7 +93,7 @@
             "config_learned": self.config.learned(),
             "store_up": self.leadership.store_up(now),
             "highest_token": self.leadership.highest(),
-            "lease_call": self.leadership.waits_for(),
+            "lease_call": self.leadership.pending_call_name(),
             "ledger": {
                 "open": self.journal.open(),
                 "records": self.journal.len(),
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -10,5 +10,5 @@
 mod store;
 mod workers;
 
-pub(crate) use control::{CallDesk, ControlInput};
+pub(crate) use control::{ControlHandle, ControlInput};
 pub use process::EntryProcess;
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -42,11 +42,11 @@
 
 /// Where other threads hand in calls and wait for their answers.
 #[derive(Clone, Debug)]
-pub(crate) struct CallDesk {
+pub(crate) struct ControlHandle {
     control: RingSender<ControlInput>,
 }
 
-impl CallDesk {
+impl ControlHandle {
     pub(crate) fn new(control: RingSender<ControlInput>) -> Self {
         Self { control }
     }
@@ -92,7 +92,7 @@
 }
 
 /// The deciding thread.
-pub(crate) struct ControlDuty {
+pub(crate) struct ControlLoop {
     controller: DomainController,
     input: RingReceiver<ControlInput>,
     outputs: ControlOutputs,
@@ -103,7 +103,7 @@
     published: Revision,
 }
 
-impl ControlDuty {
+impl ControlLoop {
     pub(crate) fn new(
         identity: EntryIdentity,
         unix: UnixMillis,
@@ -217,8 +217,8 @@
             DomainAction::Leaving(leaving) => {
                 self.outputs.callers.offer(CallerInput::Leaving(leaving)).is_ok()
             }
-            DomainAction::Rooms(rooms) => {
-                self.outputs.callers.offer(CallerInput::Rooms(rooms)).is_ok()
+            DomainAction::PeerSlots(peer_slots) => {
+                self.outputs.callers.offer(CallerInput::PeerSlots(peer_slots)).is_ok()
             }
         };
         if !taken {
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -22,7 +22,7 @@
 
 use crate::callers::CallerInput;
 use crate::config::{ConfirmRefusal, PlanDocument, PlanRequest};
-use crate::entry::CallDesk;
+use crate::entry::ControlHandle;
 use crate::entry::control::ControlGauge;
 use crate::http::{ListenerLimits, PrepareState, serve_http};
 use crate::intent_file::parse_intent;
@@ -44,7 +44,7 @@
 /// Shared by all requests of operators.
 #[derive(Clone)]
 pub(crate) struct OperatorContext {
-    pub(crate) calls: CallDesk,
+    pub(crate) calls: ControlHandle,
     pub(crate) callers: RingSender<CallerInput>,
     pub(crate) gauge: Arc<ControlGauge>,
     pub(crate) metrics: PrometheusHandle,
@@ -55,11 +55,11 @@
 impl StateData for OperatorContext {}
 
 /// The thread that answers operators.
-pub(crate) struct OperatorDuty {
+pub(crate) struct OperatorLoop {
     context: OperatorContext,
 }
 
-impl OperatorDuty {
+impl OperatorLoop {
     pub(crate) fn new(context: OperatorContext) -> Self {
         Self { context }
     }
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -47,14 +47,14 @@
 }
 
 /// The thread that talks to peers.
-pub(crate) struct PeerDuty {
+pub(crate) struct PeerLoop {
     entry: EntryId,
     peers: Vec<PeerSettings>,
     input: RingReceiver<PeerInput>,
     control: RingSender<ControlInput>,
 }
 
-impl PeerDuty {
+impl PeerLoop {
     pub(crate) fn new(
         entry: EntryId,
         peers: Vec<PeerSettings>,
--- a/src/entry/process.rs
+++ b/src/entry/process.rs
@@ -12,15 +12,15 @@
 use tokio::runtime;
 use tokio::sync::watch;
 
-use crate::callers::{CallerContext, CallerDuty, CallerInput, RouterDesk};
+use crate::callers::{CallerContext, CallerInput, CallerLoop, RouterState};
 use crate::client::HttpClient;
 use crate::domain::{DomainEvent, EntryIdentity};
-use crate::entry::CallDesk;
-use crate::entry::control::{ControlDuty, ControlGauge, ControlInput, ControlOutputs};
-use crate::entry::operators::{OperatorContext, OperatorDuty};
-use crate::entry::peers::{PeerDuty, PeerInput};
-use crate::entry::store::{StoreDuty, StoreInput};
-use crate::entry::workers::{WorkerDuty, WorkerInput};
+use crate::entry::ControlHandle;
+use crate::entry::control::{ControlGauge, ControlInput, ControlLoop, ControlOutputs};
+use crate::entry::operators::{OperatorContext, OperatorLoop};
+use crate::entry::peers::{PeerInput, PeerLoop};
+use crate::entry::store::{StoreInput, StoreLoop};
+use crate::entry::workers::{WorkerInput, WorkerLoop};
 use crate::http::bind;
 use crate::ring::{RingSender, ring};
 use crate::routing::RequestRouter;
@@ -76,7 +76,7 @@
         };
         let duty_gauge = gauge.clone();
         let control_thread = duty(&settings.name, "control", async move {
-            ControlDuty::new(identity, unix_millis(), control_input, outputs, duty_gauge)
+            ControlLoop::new(identity, unix_millis(), control_input, outputs, duty_gauge)
                 .run()
                 .await;
             Ok(true)
@@ -84,15 +84,15 @@
         let duty_control = control.clone();
         let (store_address, vms) = (settings.store, settings.vms);
         let store_thread = duty(&settings.name, "store", async move {
-            StoreDuty::new(store_address, vms, store_input, duty_control).run().await;
+            StoreLoop::new(store_address, vms, store_input, duty_control).run().await;
             Ok(true)
         })?;
         let duty_control = control.clone();
         let worker_thread = duty(&settings.name, "workers", async move {
-            WorkerDuty::new(workers_input, duty_control).run().await;
+            WorkerLoop::new(workers_input, duty_control).run().await;
             Ok(true)
         })?;
-        let peer_duty = PeerDuty::new(
+        let peer_duty = PeerLoop::new(
             settings.name.clone(),
             settings.others.clone(),
             peers_input,
@@ -102,20 +102,20 @@
             peer_duty.run(peers_listener).await.map(|()| true)
         })?;
         let context = OperatorContext {
-            calls: CallDesk::new(control.clone()),
+            calls: ControlHandle::new(control.clone()),
             callers: callers.clone(),
             gauge,
             metrics,
         };
         let operator_thread = duty(&settings.name, "operators", async move {
-            OperatorDuty::new(context)
+            OperatorLoop::new(context)
                 .run(operators_listener, operators_stopped)
                 .await
                 .map(|()| true)
         })?;
         let context = caller_context(settings, boot, control.clone(), domains.into());
         let caller_thread = duty(&settings.name, "callers", async move {
-            CallerDuty::new(context, callers_input).run(callers_listener).await
+            CallerLoop::new(context, callers_input).run(callers_listener).await
         })?;
         info!("{} started in {}", settings.name, settings.domain);
         Ok(Self {
@@ -205,12 +205,12 @@
     CallerContext {
         entry: settings.name.clone(),
         boot,
-        desk: Arc::new(Mutex::new(RouterDesk::new(router))),
-        calls: CallDesk::new(control),
+        router_state: Arc::new(Mutex::new(RouterState::new(router))),
+        calls: ControlHandle::new(control),
         limits,
         next_request: Arc::new(AtomicU64::new(1)),
         peers: Arc::new(peers.collect()),
-        handed: HttpClient::new(),
+        peer_client: HttpClient::new(),
         domains,
     }
 }
--- a/src/entry/store.rs
+++ b/src/entry/store.rs
@@ -118,14 +118,14 @@
 }
 
 /// The thread that talks to the platform.
-pub(crate) struct StoreDuty {
+pub(crate) struct StoreLoop {
     store: StoreClient,
     vms: SocketAddr,
     input: RingReceiver<StoreInput>,
     control: RingSender<ControlInput>,
 }
 
-impl StoreDuty {
+impl StoreLoop {
     pub(crate) fn new(
         store: SocketAddr,
         vms: SocketAddr,
--- a/src/entry/workers.rs
+++ b/src/entry/workers.rs
@@ -28,12 +28,12 @@
 }
 
 /// The thread that talks to workers.
-pub(crate) struct WorkerDuty {
+pub(crate) struct WorkerLoop {
     input: RingReceiver<WorkerInput>,
     control: RingSender<ControlInput>,
 }
 
-impl WorkerDuty {
+impl WorkerLoop {
     pub(crate) fn new(input: RingReceiver<WorkerInput>, control: RingSender<ControlInput>) -> Self {
         Self { input, control }
     }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -52,7 +52,7 @@
     /// A worker does not answer, or answers again.
     Silent(WorkerId, bool),
     /// All tasks that this leader started on the worker have surely ended.
-    Lapsed(WorkerId),
+    LeaseExpired(WorkerId),
 }
 
 #[derive(Debug)]
@@ -236,7 +236,7 @@
         let mut removed = Vec::new();
         for (id, member) in &mut self.members {
             if member.lapse(now, &self.timing) {
-                outputs.push(FleetOutput::Lapsed(id.clone()));
+                outputs.push(FleetOutput::LeaseExpired(id.clone()));
                 if member.gone.is_some() {
                     removed.push(id.clone());
                 }
--- a/src/graph/advice.rs
+++ b/src/graph/advice.rs
@@ -70,7 +70,7 @@
 
 /// A call that should be made.
 #[derive(Clone, Debug)]
-pub struct AdviceWish {
+pub struct AdviceRequest {
     /// The step.
     pub key: AdviceKey,
     /// Its queue.
@@ -106,7 +106,7 @@
 
 /// All advice that a leader has and is waiting for.
 #[derive(Debug, Default)]
-pub struct AdviceDesk {
+pub struct AdviceTable {
     steps: BTreeMap<AdviceKey, StepAdvice>,
     calls: BTreeMap<AdviceId, OpenCall>,
     entries: BTreeSet<EntryId>,
@@ -114,7 +114,7 @@
     last: AdviceId,
 }
 
-impl AdviceDesk {
+impl AdviceTable {
     /// Sets the entries that can make calls.
     pub fn set_entries(&mut self, entries: BTreeSet<EntryId>) {
         self.entries = entries;
@@ -138,15 +138,15 @@
     }
 
     /// Makes as many calls as there are entries without one; wishes come in order of urgency.
-    pub fn assign(&mut self, now: Instant, wishes: Vec<AdviceWish>) -> Vec<AdviceCall> {
+    pub fn assign(&mut self, now: Instant, advice_requests: Vec<AdviceRequest>) -> Vec<AdviceCall> {
         let busy: BTreeSet<&EntryId> = self.calls.values().map(|open| &open.call.entry).collect();
         let idle = self.entries.iter().filter(|entry| !busy.contains(entry));
         let mut idle: Vec<EntryId> = idle.cloned().collect();
         let spared = FREE_FOR_SHORT.min(self.entries.len().saturating_sub(1));
         let mut made = Vec::new();
-        for wish in wishes {
-            let workers = u32::try_from(wish.workers.len()).unwrap_or(u32::MAX);
-            let time = wish.rule.call + wish.rule.each * workers;
+        for request in advice_requests {
+            let workers = u32::try_from(request.workers.len()).unwrap_or(u32::MAX);
+            let time = request.rule.call + request.rule.each * workers;
             let kept = if time > LONG_CALL { spared } else { 0 };
             if idle.len() <= kept {
                 continue;
@@ -154,7 +154,7 @@
             let Some(entry) = idle.pop() else {
                 break;
             };
-            made.push(self.open(now, entry, wish, time + CALL_SLACK));
+            made.push(self.open(now, entry, request, time + CALL_SLACK));
         }
         made
     }
@@ -163,11 +163,11 @@
         &mut self,
         now: Instant,
         entry: EntryId,
-        wish: AdviceWish,
+        request: AdviceRequest,
         time: Duration,
     ) -> AdviceCall {
         self.last += 1;
-        let AdviceWish { key, queue, rule, workers } = wish;
+        let AdviceRequest { key, queue, rule, workers } = request;
         let call = AdviceCall { id: self.last, entry, key: key.clone(), workers, time };
         self.steps.entry(key).or_default().asking = Some(call.id);
         self.calls.insert(call.id, OpenCall { call: call.clone(), queue, rule, sent: now });
--- a/src/graph/commit.rs
+++ b/src/graph/commit.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::graph::changes::ChangeQueue;
-use crate::graph::exchange::{LifeId, UsedWorker};
+use crate::graph::exchange::{InstanceId, UsedWorker};
 use crate::graph::job::GraphRecord;
 use crate::graph::name::GraphId;
 use crate::graph::notice::{NoticeKind, NoticeQueue, ShardNotice};
@@ -59,9 +59,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct GroupEffect {
     /// Ends that may be acknowledged, by the life that lists them.
-    pub ends: BTreeMap<LifeId, u64>,
+    pub ends: BTreeMap<InstanceId, u64>,
     /// Workers that the store now names.
-    pub noted: BTreeSet<WorkerId>,
+    pub in_store: BTreeSet<WorkerId>,
 }
 
 /// Gathers changes.
@@ -213,13 +213,15 @@
         let settled = self.notices.take_settled(&mut room);
         let removed = take_some(&mut self.removed, &mut room, job_keys.max(2));
         let workers = std::mem::take(&mut self.workers);
-        let whole = self.changed.is_empty();
-        let rest =
-            !(whole && self.added.is_empty() && self.removed.is_empty() && self.notices.is_empty());
+        let complete = self.changed.is_empty();
+        let rest = !(complete
+            && self.added.is_empty()
+            && self.removed.is_empty()
+            && self.notices.is_empty());
         self.urgent = rest && self.urgent;
         self.since = rest.then_some(now);
         self.last += 1;
-        GroupIds { number: self.last, added, changed, notices, settled, removed, workers, whole }
+        GroupIds { number: self.last, added, changed, notices, settled, removed, workers, complete }
     }
 
     /// Notes a group as sent.
@@ -246,7 +248,7 @@
     pub(crate) removed: Vec<GraphId>,
     pub(crate) workers: bool,
     /// Whether no changed job is left for a later group, so that all ends seen are in the store.
-    pub(crate) whole: bool,
+    pub(crate) complete: bool,
 }
 
 fn take_some(from: &mut BTreeSet<GraphId>, room: &mut usize, keys: usize) -> Vec<GraphId> {
--- a/src/graph/controller.rs
+++ b/src/graph/controller.rs
@@ -1,11 +1,11 @@
 //! The leader of the job graphs: carries events between its tables and gives actions.
 
 mod commands;
-mod findings;
 mod registrations;
 mod shares;
 mod storing;
 mod submissions;
+mod worker_events;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,22 +14,22 @@
 use log::{info, warn};
 use tokio::time::Instant;
 
-use crate::graph::advice::{AdviceDesk, AdviceId};
+use crate::graph::advice::{AdviceId, AdviceTable};
 use crate::graph::commit::CommitQueue;
-use crate::graph::controller::submissions::HeldSubmission;
+use crate::graph::controller::submissions::DeferredSubmission;
 use crate::graph::crash::WorkerCrash;
 use crate::graph::event::{GraphAction, PollResult};
-use crate::graph::exchange::{TicketText, UsedWorker, WorkerListing};
+use crate::graph::exchange::{TicketText, UsedWorker, WorkerRegistration};
 use crate::graph::home::UnsettledDomains;
+use crate::graph::instances::{InstanceTable, WORKER_LEASE};
 use crate::graph::job::{GraphJob, GraphRecord};
 use crate::graph::jobs::JobTable;
-use crate::graph::lives::{LifeTable, WORKER_LEASE};
 use crate::graph::name::{AttemptId, GraphId, LeaderEpoch, RunNumber, TaskName};
-use crate::graph::neighbours::NeighbourTable;
 use crate::graph::placer::{PassView, PlacementPass};
-use crate::graph::preemption::RoomKeeper;
+use crate::graph::preemption::ReservationTable;
 use crate::graph::progress::GraphProgress;
 use crate::graph::queue::QueueConfig;
+use crate::graph::remote_workers::RemoteWorkerTable;
 use crate::graph::send_window::SendWindow;
 use crate::graph::shard::ShardScope;
 use crate::id::{CallId, DomainId, EntryId, RackId, ServiceId, UnixMillis, WorkerId};
@@ -62,9 +62,9 @@
     /// Longest lease that a worker takes.
     pub longest_lease: Duration,
     /// How long an ended job's state can be asked for.
-    pub remembered: Duration,
+    pub retention: Duration,
     /// How long a leader renews workers' leases after its own was renewed.
-    pub blind: Duration,
+    pub lease_extension_window: Duration,
 }
 
 /// What a new leader starts from.
@@ -85,16 +85,16 @@
     bounds: GraphBounds,
     scope: ShardScope,
     /// Workers of other shards.
-    neighbours: NeighbourTable,
+    remote_workers: RemoteWorkerTable,
     /// Whether registrations are still missing from what is known of the workers.
     registrations_awaited: bool,
     /// Jobs that wait for them.
-    held: Vec<HeldSubmission>,
+    held: Vec<DeferredSubmission>,
     config: Option<Arc<QueueConfig>>,
     jobs: JobTable,
-    lives: LifeTable,
-    advice: AdviceDesk,
-    keeper: RoomKeeper,
+    instances: InstanceTable,
+    advice: AdviceTable,
+    keeper: ReservationTable,
     window: SendWindow,
     commits: CommitQueue,
     waiters: BTreeMap<GraphId, Vec<(CallId, AttemptId)>>,
@@ -103,12 +103,12 @@
     /// Requests that were rejected, and when.
     rejected: BTreeMap<AttemptId, Instant>,
     /// Registrations of services that nothing names, and when they are looked at again.
-    foreign: BTreeMap<WorkerId, WorkerListing>,
+    foreign: BTreeMap<WorkerId, WorkerRegistration>,
     next_review: Instant,
     /// Workers from before this leader's time that have not been heard.
     unheard: BTreeSet<WorkerId>,
     /// Whether one of them was lost unheard, with whatever an earlier leader had started there.
-    lost_unheard: bool,
+    lost_before_contact: bool,
     /// When nothing that they were told before can run any more.
     settled_at: Instant,
     /// Whether runs that nobody was heard of have been given up.
@@ -141,14 +141,14 @@
             let age = Duration::from_millis(unix.saturating_sub(record.spec.accepted));
             jobs.insert(GraphJob::restored(record, progress, now, age));
         }
-        let mut lives = LifeTable::new(bounds.longest_lease);
+        let mut instances = InstanceTable::new(bounds.longest_lease);
         for used in &state.workers {
-            lives.used(now, used, unregistered(used));
+            instances.used(now, used, unregistered(used));
         }
         for job in jobs.iter().filter(|job| !job.over()) {
             for (task, trials) in &job.progress.trials {
-                for trial in trials {
-                    lives.inherit_trial(now, job.task_name(*task), trial.clone());
+                for suspect_run in trials {
+                    instances.inherit_suspect_run(now, job.task_name(*task), suspect_run.clone());
                 }
             }
         }
@@ -168,14 +168,14 @@
             epoch,
             bounds,
             scope: ShardScope::default(),
-            neighbours: NeighbourTable::default(),
+            remote_workers: RemoteWorkerTable::default(),
             registrations_awaited: false,
             held: Vec::new(),
             config: None,
             jobs,
-            lives,
-            advice: AdviceDesk::default(),
-            keeper: RoomKeeper::default(),
+            instances,
+            advice: AdviceTable::default(),
+            keeper: ReservationTable::default(),
             window: SendWindow::default(),
             commits: CommitQueue::default(),
             waiters: BTreeMap::new(),
@@ -184,8 +184,8 @@
             foreign: BTreeMap::new(),
             next_review: now,
             unheard,
-            lost_unheard: false,
-            settled_at: now + bounds.blind + LEASE_LIFE,
+            lost_before_contact: false,
+            settled_at: now + bounds.lease_extension_window + LEASE_LIFE,
             voided: false,
             predecessor_ended: false,
             authority: now,
@@ -207,7 +207,7 @@
 
     /// Time since the last successful renewal of this leader's lease was sent.
     pub fn lease_age(&self, now: Instant) -> Duration {
-        (now + self.bounds.blind).saturating_duration_since(self.authority)
+        (now + self.bounds.lease_extension_window).saturating_duration_since(self.authority)
     }
 
     /// Epoch of this leader.
@@ -226,8 +226,8 @@
     }
 
     /// All workers.
-    pub fn lives(&self) -> &LifeTable {
-        &self.lives
+    pub fn instances(&self) -> &InstanceTable {
+        &self.instances
     }
 
     /// Actions since the last call.
@@ -241,7 +241,7 @@
             Some((at, gap)) if sent <= at => sent.checked_sub(gap).unwrap_or(self.last_pass),
             _ => sent,
         };
-        self.authority = self.authority.max(sent + self.bounds.blind);
+        self.authority = self.authority.max(sent + self.bounds.lease_extension_window);
     }
 
     /// Another may lead by now that takes this one for ended: nothing is started, and no worker's lease extended.
@@ -289,10 +289,10 @@
     /// Takes in the answer to a poll.
     pub fn polled(&mut self, now: Instant, unix: UnixMillis, id: &WorkerId, result: PollResult) {
         let found = match result {
-            Ok(reply) => self.lives.polled(now, id, reply),
-            Err(failure) => self.lives.poll_failed(now, id, &failure),
+            Ok(reply) => self.instances.polled(now, id, reply),
+            Err(failure) => self.instances.poll_failed(now, id, &failure),
         };
-        self.take_findings_at(now, unix, found);
+        self.handle_worker_events_at(now, unix, found);
     }
 
     /// Takes in the answer to a call for advice.
@@ -317,7 +317,7 @@
             self.next_sweep = now + SWEEP_GAP;
             self.sweep(now, unix, extend);
         }
-        self.actions.extend(self.lives.polls(now, extend));
+        self.actions.extend(self.instances.polls(now, extend));
         self.review_crashes(now, unix);
         self.reject_waiting(now);
         self.release_overdue(now);
@@ -332,26 +332,26 @@
 
     /// Looks through all workers and runs for what time alone has brought about.
     fn sweep(&mut self, now: Instant, unix: UnixMillis, extend: bool) {
-        self.void_unseen(now);
-        let mut found = self.lives.doubted(now);
-        found.extend(self.lives.lapsed(now));
-        found.extend(self.lives.vanished(now, now >= self.settled_at));
-        self.take_findings_at(now, unix, found);
+        self.invalidate_unseen_runs(now);
+        let mut found = self.instances.doubted(now);
+        found.extend(self.instances.lapsed(now));
+        found.extend(self.instances.vanished(now, now >= self.settled_at));
+        self.handle_worker_events_at(now, unix, found);
         self.review_foreign(now);
-        self.neighbours.forget_lapsed(now);
+        self.remote_workers.forget_expired(now);
         self.resend(now, extend);
     }
 
     /// Once nothing from before this leader's time can run any more, work of workers that were never heard is
     /// begun again.
-    fn void_unseen(&mut self, now: Instant) {
+    fn invalidate_unseen_runs(&mut self, now: Instant) {
         if self.voided || now < self.settled_at {
             return;
         }
         self.voided = true;
         let unsettled = self.unheard_domains();
         let first = self.run_base() + 1;
-        for job in self.jobs.void_unseen(first, |job| unsettled.holds(job)) {
+        for job in self.jobs.invalidate_unseen_runs(first, |job| unsettled.holds(job)) {
             self.commits.change(job, now, true);
         }
     }
@@ -362,18 +362,21 @@
         if self.pass_wanted {
             due = due.min(self.last_pass + self.pass_gap);
         }
-        due = self.lives.next_poll().map_or(due, |poll| due.min(poll));
+        due = self.instances.next_poll().map_or(due, |poll| due.min(poll));
         due = self.held.iter().map(|held| held.until).fold(due, Instant::min);
         if self.commits.is_due(now) || !self.crashes.is_empty() {
             return now;
         }
         let waiting = self.commits.waiting().filter_map(|id| self.jobs.get(id));
-        due = waiting.map(|job| job.give_up).min().map_or(due, |give_up| due.min(give_up));
+        due = waiting
+            .map(|job| job.submit_deadline)
+            .min()
+            .map_or(due, |submit_deadline| due.min(submit_deadline));
         self.commits.due().map_or(due, |commit| due.min(commit)).max(now)
     }
 
     /// The last round of decisions took `cost` of wall time: passes take a bounded share of it.
-    pub fn note_cost(&mut self, cost: Duration) {
+    pub fn note_pass_time(&mut self, cost: Duration) {
         self.pass_gap = (cost * PASS_SHARE).clamp(PASS_GAP, LONGEST_PASS_GAP);
     }
 
@@ -393,7 +396,7 @@
     fn unheard_domains(&self) -> UnsettledDomains {
         let mut unsettled = UnsettledDomains::default();
         for id in &self.unheard {
-            match self.lives.get(id).map(|life| &life.listing.domain) {
+            match self.instances.get(id).map(|instance| &instance.registration.domain) {
                 Some(domain) if !domain.is_empty() => {
                     unsettled.domains.insert(domain.clone());
                 }
@@ -420,11 +423,11 @@
             unix,
             unsettled: &unsettled,
             jobs: &self.jobs,
-            lives: &self.lives,
+            instances: &self.instances,
             advice: &self.advice,
             keeper: &self.keeper,
             unanswered: self.window.limit(),
-            lost_unheard: self.lost_unheard,
+            lost_before_contact: self.lost_before_contact,
         };
         let plan = PlacementPass::new(view).run();
         for id in &plan.settled {
@@ -452,7 +455,7 @@
         for preemption in plan.preemptions {
             self.preempt(now, preemption);
         }
-        for call in self.advice.assign(now, plan.wishes) {
+        for call in self.advice.assign(now, plan.advice_requests) {
             let (job, step) = &call.key;
             let (entry, workers) = (&*call.entry, call.workers.len());
             info!(job = &**job, step = step.step, entry, workers, call = call.id; "advice asked");
@@ -484,10 +487,10 @@
 }
 
 /// A worker of which only the store's note is known.
-fn unregistered(used: &UsedWorker) -> WorkerListing {
-    WorkerListing {
+fn unregistered(used: &UsedWorker) -> WorkerRegistration {
+    WorkerRegistration {
         id: used.id.clone(),
-        born: None,
+        instance_start: None,
         address: used.address,
         service: ServiceId::from(""),
         domain: used.domain.clone(),
--- a/src/graph/controller/commands.rs
+++ b/src/graph/controller/commands.rs
@@ -7,10 +7,10 @@
 
 use crate::graph::begin_evidence::BeginEvidence;
 use crate::graph::controller::GraphController;
-use crate::graph::crash::{PROBATION, RunTrial};
-use crate::graph::event::{CommandResult, GraphAction, StartOrder};
-use crate::graph::exchange::{CallFailure, LifeId, WorkerRefusal};
-use crate::graph::lives::WORKER_LEASE;
+use crate::graph::crash::{PROBATION, SuspectRun};
+use crate::graph::event::{CommandResult, GraphAction, StartCommand};
+use crate::graph::exchange::{CallFailure, InstanceId, WorkerRefusal};
+use crate::graph::instances::WORKER_LEASE;
 use crate::graph::name::{GraphId, RunNumber, TaskKey, TaskName};
 use crate::graph::placer::PlannedStart;
 use crate::graph::preemption::PlannedPreemption;
@@ -47,15 +47,15 @@
             suspected: job.is_suspected(start.task),
             ..WorkerRun::new(run, phase, now, Some((job, step)))
         };
-        let announced = self.jobs.take_announced(&task);
+        let announced = self.jobs.consume_announcement(&task);
         let entry = WorkerRun { doubted: announced, ..entry };
-        if let Some(life) = self.lives.get_mut(&start.worker) {
-            life.add_run(task.clone(), entry);
+        if let Some(instance) = self.instances.get_mut(&start.worker) {
+            instance.add_run(task.clone(), entry);
             if announced {
                 let worker = start.worker.clone();
-                let (address, born) = (life.address(), life.born);
-                let trial = RunTrial { run, worker, address, born };
-                self.jobs.note_trial(&task, trial);
+                let (address, instance_start) = (instance.address(), instance.instance_start);
+                let suspect_run = SuspectRun { run, worker, address, instance_start };
+                self.jobs.note_suspect_run(&task, suspect_run);
                 self.commits.change(task.job.clone(), now, true);
             }
         }
@@ -68,7 +68,7 @@
     pub(super) fn announce(&mut self, now: Instant, job: &GraphId, task: TaskKey) {
         let task = TaskName::new(job.clone(), task);
         let base = self.run_base();
-        self.jobs.announce(&task, base, self.lost_unheard);
+        self.jobs.announce(&task, base, self.lost_before_contact);
         self.commits.change(job.clone(), now, true);
     }
 
@@ -84,17 +84,18 @@
         let keeper = if gang { TaskKey { index: 0, ..task.key } } else { task.key };
         let saved = job.progress.saved.get(&keeper).cloned().unwrap_or_default();
         let payload = job.spec.payload.clone();
-        let Some(life) = self.lives.get_mut(worker) else {
+        let Some(instance) = self.instances.get_mut(worker) else {
             return;
         };
         // Sent again to a worker that may be gone, a start extends no lease: its task ran elsewhere after
         // 6.2 s in place of 4.6 s.
-        let before = life.runs.get(task).and_then(|run| run.until).filter(|_| life.misses > 0);
-        let Some(until) = before.or_else(|| life.extend_lease(now, WORKER_LEASE)) else {
+        let before =
+            instance.runs.get(task).and_then(|run| run.until).filter(|_| instance.misses > 0);
+        let Some(until) = before.or_else(|| instance.extend_lease(now, WORKER_LEASE)) else {
             return;
         };
-        let (address, born) = (life.address(), life.born);
-        let Some(entry) = life.runs.get_mut(task) else {
+        let (address, instance_start) = (instance.address(), instance.instance_start);
+        let Some(entry) = instance.runs.get_mut(task) else {
             return;
         };
         let run = entry.run;
@@ -106,9 +107,9 @@
         entry.until = entry.until.max(Some(until));
         entry.sends += 1;
         info!(task:% = task, run, worker = &**worker, tries, resumes = !saved.is_empty(); "start sent");
-        self.actions.push(GraphAction::Start(StartOrder {
+        self.actions.push(GraphAction::Start(StartCommand {
             worker: worker.clone(),
-            born,
+            instance_start,
             address,
             task: task.clone(),
             run,
@@ -123,7 +124,7 @@
     pub fn started(
         &mut self,
         now: Instant,
-        id: &LifeId,
+        id: &InstanceId,
         task: &TaskName,
         run: RunNumber,
         result: CommandResult,
@@ -133,19 +134,23 @@
             self.note_begun(now, task, run, BeginEvidence::Answered);
         }
         let worker = &id.worker;
-        let Some(life) = self.lives.get_mut(worker).filter(|life| life.born == id.born) else {
+        let Some(instance) = self
+            .instances
+            .get_mut(worker)
+            .filter(|instance| instance.instance_start == id.instance_start)
+        else {
             return;
         };
         if let Ok(clock) = &result {
-            life.note_answer(now, *clock);
+            instance.note_answer(now, *clock);
         }
-        let sent = life.runs.get(task).map(|entry| entry.since);
-        let reached = sent.and_then(|sent| life.clock_reached_by(sent));
+        let sent = instance.runs.get(task).map(|entry| entry.since);
+        let reached = sent.and_then(|sent| instance.clock_reached_by(sent));
         let taken_later = matches!((&result, reached), (Ok(clock), Some(least)) if *clock < least);
         if taken_later {
-            life.heard = None;
+            instance.heard = None;
         }
-        let Some(entry) = life.runs.get_mut(task).filter(|entry| entry.run == run) else {
+        let Some(entry) = instance.runs.get_mut(task).filter(|entry| entry.run == run) else {
             return;
         };
         let RunPhase::Sent { tries } = entry.phase else {
@@ -165,7 +170,7 @@
                 entry.taken_later = taken_later.then_some(now);
                 entry.confirm(now);
                 let until = entry.until.filter(|_| tries == 1 && !taken_later);
-                life.grant_lease(until);
+                instance.grant_lease(until);
                 return;
             }
             Err(failure) => failure,
@@ -175,21 +180,21 @@
         let surely_not = tries == 1;
         match failure {
             CallFailure::NoAnswer => {
-                life.note_silence(now);
-                life.shunned_until = Some(now + SHUN_SILENT);
+                instance.note_silence(now);
+                instance.excluded_until = Some(now + SHUN_SILENT);
                 match tries < START_TRIES && self.jobs.wants(task) {
                     true => self.send_start(now, worker, task),
                     false => self.stop(now, worker, task, run),
                 }
                 return;
             }
-            CallFailure::NotSent => life.shunned_until = Some(now + SHUN_SILENT),
+            CallFailure::NotSent => instance.excluded_until = Some(now + SHUN_SILENT),
             CallFailure::NothingThere => {
-                life.note_refused(now);
-                life.shunned_until = Some(now + SHUN_SILENT);
+                instance.note_refused(now);
+                instance.excluded_until = Some(now + SHUN_SILENT);
             }
             CallFailure::Refused(WorkerRefusal::Unwell) => {
-                life.shunned_until = Some(now + SHUN_UNWELL);
+                instance.excluded_until = Some(now + SHUN_UNWELL);
             }
             CallFailure::Refused(WorkerRefusal::Deposed) => self.deposed = true,
             CallFailure::Refused(WorkerRefusal::OtherLife) => {
@@ -201,7 +206,7 @@
             }
             // What is known of its room is wrong: chosen again at once, it refused a hundred starts a second.
             CallFailure::Refused(WorkerRefusal::NoRoom | WorkerRefusal::Invalid) => {
-                life.shunned_until = Some(now + SHUN_REFUSED);
+                instance.excluded_until = Some(now + SHUN_REFUSED);
             }
             CallFailure::Refused(_) => {}
         }
@@ -213,14 +218,14 @@
 
     /// A worker has been replaced by another life of it: all its runs are lost.
     fn replaced(&mut self, now: Instant, worker: &WorkerId) {
-        let found = self.lives.replaced(now, worker);
-        self.take_findings(now, found);
+        let found = self.instances.replaced(now, worker);
+        self.handle_worker_events(now, found);
     }
 
     /// A run that surely has not begun.
     fn withdraw(&mut self, now: Instant, worker: &WorkerId, task: &TaskName, run: RunNumber) {
-        if let Some(life) = self.lives.get_mut(worker) {
-            life.remove_run(task);
+        if let Some(instance) = self.instances.get_mut(worker) {
+            instance.remove_run(task);
         }
         let effect = self.jobs.withdraw(task, run);
         self.apply(now, &task.job, effect);
@@ -234,10 +239,10 @@
         task: &TaskName,
         run: RunNumber,
     ) {
-        let Some(life) = self.lives.get_mut(worker) else {
+        let Some(instance) = self.instances.get_mut(worker) else {
             return;
         };
-        let Some(entry) = life.runs.get_mut(task).filter(|entry| entry.run == run) else {
+        let Some(entry) = instance.runs.get_mut(task).filter(|entry| entry.run == run) else {
             return;
         };
         if matches!(entry.phase, RunPhase::Stopping { .. }) {
@@ -249,13 +254,13 @@
 
     /// Sends the stop of a run.
     pub(super) fn send_stop(&mut self, worker: &WorkerId, task: &TaskName, run: RunNumber) {
-        let Some(life) = self.lives.get(worker) else {
+        let Some(instance) = self.instances.get(worker) else {
             return;
         };
         info!(task:% = task, run, worker = &**worker; "stop sent");
-        let (address, born) = (life.address(), life.born);
+        let (address, instance_start) = (instance.address(), instance.instance_start);
         let (worker, task) = (worker.clone(), task.clone());
-        self.actions.push(GraphAction::Stop { worker, born, address, task, run });
+        self.actions.push(GraphAction::Stop { worker, instance_start, address, task, run });
     }
 
     /// Stops runs of less urgent queues and keeps their room for a task.
@@ -266,7 +271,7 @@
         metrics::counter!("kelplink_preempted_runs_total").increment(victims.len() as u64);
         self.keeper.keep(now, name, worker.clone(), need);
         for victim in victims {
-            let run = self.lives.get(&worker).and_then(|life| life.runs.get(&victim));
+            let run = self.instances.get(&worker).and_then(|instance| instance.runs.get(&victim));
             if let Some(run) = run.map(|run| run.run) {
                 self.stop(now, &worker, &victim, run);
             }
@@ -277,19 +282,23 @@
     pub fn stopped(
         &mut self,
         now: Instant,
-        id: &LifeId,
+        id: &InstanceId,
         task: &TaskName,
         run: RunNumber,
         result: CommandResult,
     ) {
         let worker = &id.worker;
-        let Some(life) = self.lives.get_mut(worker).filter(|life| life.born == id.born) else {
+        let Some(instance) = self
+            .instances
+            .get_mut(worker)
+            .filter(|instance| instance.instance_start == id.instance_start)
+        else {
             return;
         };
         match result {
             Ok(clock) => {
-                life.note_answer(now, clock);
-                if let Some(entry) = life.runs.get_mut(task).filter(|entry| entry.run == run) {
+                instance.note_answer(now, clock);
+                if let Some(entry) = instance.runs.get_mut(task).filter(|entry| entry.run == run) {
                     entry.phase = RunPhase::Stopping { answered: Some(clock), sent: now };
                 }
             }
@@ -299,7 +308,7 @@
             Err(CallFailure::Refused(WorkerRefusal::Deposed)) => self.deposed = true,
             Err(failure) => {
                 metrics::counter!("kelplink_failed_stops_total").increment(1);
-                let entry = life.runs.get_mut(task).filter(|entry| entry.run == run);
+                let entry = instance.runs.get_mut(task).filter(|entry| entry.run == run);
                 if let Some(entry) = entry {
                     entry.failed_stops += 1;
                     // A worker that is away for its whole lease is sent each stop eleven times.
@@ -319,9 +328,10 @@
         if !authority {
             return;
         }
-        for life in self.lives.iter_mut() {
-            let (id, address, born) = (life.id().clone(), life.address(), life.born);
-            for (task, entry) in &mut life.runs {
+        for instance in self.instances.iter_mut() {
+            let (id, address, instance_start) =
+                (instance.id().clone(), instance.address(), instance.instance_start);
+            for (task, entry) in &mut instance.runs {
                 let RunPhase::Stopping { answered: None, sent } = &mut entry.phase else {
                     continue;
                 };
@@ -329,7 +339,7 @@
                     *sent = now;
                     self.actions.push(GraphAction::Stop {
                         worker: id.clone(),
-                        born,
+                        instance_start,
                         address,
                         task: task.clone(),
                         run: entry.run,
--- a/src/graph/controller/registrations.rs
+++ b/src/graph/controller/registrations.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 use crate::graph::controller::GraphController;
-use crate::graph::exchange::WorkerListing;
+use crate::graph::exchange::WorkerRegistration;
 use crate::id::{ServiceId, WorkerId};
 
 /// Pause between looks at workers of services that nothing named: a job of a queue that is gone may want
@@ -35,26 +35,26 @@
     ///
     /// One of a service that nothing names is not called. If it was in use, it is like one that is not
     /// registered any more: what runs there goes on.
-    pub fn worker_listed(&mut self, now: Instant, listing: WorkerListing) {
-        if !self.names_service(&listing.service) {
-            return self.set_aside(listing);
+    pub fn worker_registered(&mut self, now: Instant, registration: WorkerRegistration) {
+        if !self.names_service(&registration.service) {
+            return self.set_aside(registration);
         }
-        self.foreign.remove(&listing.id);
-        self.lives.listed(now, listing);
+        self.foreign.remove(&registration.id);
+        self.instances.registered(now, registration);
         self.pass_wanted = true;
     }
 
     /// A worker's registration has gone, or names no worker any more.
-    pub fn worker_unlisted(&mut self, now: Instant, id: &WorkerId) {
+    pub fn worker_unregistered(&mut self, now: Instant, id: &WorkerId) {
         self.foreign.remove(id);
-        self.neighbours.unlisted(now, id);
-        self.lives.unlisted(now, id);
+        self.remote_workers.unregistered(now, id);
+        self.instances.unregistered(now, id);
     }
 
-    fn set_aside(&mut self, listing: WorkerListing) {
-        self.lives.set_aside(&listing.id);
-        let (worker, service) = (listing.id.clone(), listing.service.clone());
-        if self.foreign.insert(worker.clone(), listing).is_none() {
+    fn set_aside(&mut self, registration: WorkerRegistration) {
+        self.instances.set_aside(&registration.id);
+        let (worker, service) = (registration.id.clone(), registration.service.clone());
+        if self.foreign.insert(worker.clone(), registration).is_none() {
             metrics::counter!("kelplink_foreign_workers_total").increment(1);
             warn!(worker = &*worker, service = &*service; "nothing names a worker's service");
         }
@@ -66,14 +66,14 @@
             return;
         }
         self.next_review = now + REVIEW_GAP;
-        for (id, listing) in std::mem::take(&mut self.foreign) {
-            match self.names_service(&listing.service) {
+        for (id, registration) in std::mem::take(&mut self.foreign) {
+            match self.names_service(&registration.service) {
                 true => {
-                    info!(worker = &*id, service = &*listing.service; "a worker's service is named");
-                    self.worker_listed(now, listing);
+                    info!(worker = &*id, service = &*registration.service; "a worker's service is named");
+                    self.worker_registered(now, registration);
                 }
                 false => {
-                    self.foreign.insert(id, listing);
+                    self.foreign.insert(id, registration);
                 }
             }
         }
--- a/src/graph/controller/shares.rs
+++ b/src/graph/controller/shares.rs
@@ -6,17 +6,17 @@
 use tokio::time::Instant;
 
 use crate::graph::controller::GraphController;
-use crate::graph::exchange::WorkerListing;
-use crate::graph::home::runs_on;
+use crate::graph::exchange::WorkerRegistration;
+use crate::graph::home::can_run_on;
 use crate::graph::job::{GraphJob, GraphRecord};
 use crate::graph::name::{GraphId, TaskName};
 use crate::graph::notice::NoticeKind;
 use crate::graph::progress::GraphVerdict;
-use crate::graph::room::room_for;
 use crate::graph::shard::{ShardId, ShardScope};
 use crate::graph::share::TaskShare;
 use crate::graph::spec::StepSpec;
-use crate::graph::worker::WorkerLife;
+use crate::graph::step_capacity::tasks_that_fit;
+use crate::graph::worker::WorkerInstance;
 use crate::id::UnixMillis;
 use crate::resources::ResourceVector;
 
@@ -44,8 +44,12 @@
     }
 
     /// A worker of another shard has registered or changed its registration.
-    pub fn worker_listed_elsewhere(&mut self, shard: ShardId, listing: WorkerListing) {
-        self.neighbours.listed(shard, listing);
+    pub fn worker_registered_elsewhere(
+        &mut self,
+        shard: ShardId,
+        registration: WorkerRegistration,
+    ) {
+        self.remote_workers.registered(shard, registration);
     }
 
     /// The shard that should take a job in place of this one.
@@ -53,8 +57,8 @@
         if !self.scope.plan.is_divided() {
             return None;
         }
-        let own = self.own_listings(now);
-        self.neighbours.better_shard(&self.scope, &record.spec, &record.rule, own)
+        let own = self.own_registrations(now);
+        self.remote_workers.better_shard(&self.scope, &record.spec, &record.rule, own)
     }
 
     /// How the tasks of a new job are shared out among shards, where it is too wide for this one.
@@ -62,8 +66,8 @@
         if !self.scope.plan.is_divided() {
             return None;
         }
-        let own = self.own_listings(now);
-        let weights = self.neighbours.weights(&self.scope, &job.spec, &job.rule, own)?;
+        let own = self.own_registrations(now);
+        let weights = self.remote_workers.weights(&self.scope, &job.spec, &job.rule, own)?;
         info!(job = &*job.spec.id, shards = weights.len(); "a job is shared out");
         metrics::counter!("kelplink_shared_jobs_total").increment(1);
         Some(TaskShare::new(self.scope.shard.clone(), &weights))
@@ -81,30 +85,34 @@
         let part = rule.advice.map_or(1.0, |_| GANG_PART);
         let holds = |step: &StepSpec| {
             let most = step.max_per_worker.unwrap_or(u32::MAX);
-            let fitting = self.lives.iter().filter(|life| life.counts(now));
-            let fitting = fitting.filter(|life| runs_on(step, rule, &life.listing));
-            let room = |life: &WorkerLife| {
-                room_for(&self.room_beside_lasting(life), &step.reservation()).min(most)
+            let fitting = self.instances.iter().filter(|instance| instance.counts(now));
+            let fitting = fitting.filter(|instance| can_run_on(step, rule, &instance.registration));
+            let room = |instance: &WorkerInstance| {
+                tasks_that_fit(&self.room_beside_lasting(instance), &step.reservation()).min(most)
             };
-            fitting.map(|life| f64::from(room(life))).sum::<f64>() * share * part
+            fitting.map(|instance| f64::from(room(instance))).sum::<f64>() * share * part
         };
         let mut gangs = record.spec.steps.iter().filter(|step| step.gang);
         self.scope.plan.is_divided() && gangs.any(|step| f64::from(step.count) > holds(step))
     }
 
     /// Room of a worker without all but its lasting tasks.
-    fn room_beside_lasting(&self, life: &WorkerLife) -> ResourceVector {
+    fn room_beside_lasting(&self, instance: &WorkerInstance) -> ResourceVector {
         let lasts = |task: &TaskName| {
             let step = self.jobs.get(&task.job).and_then(|job| job.step(task.key.step));
             step.is_some_and(|step| step.lasting)
         };
-        let lasting = life.runs.iter().filter(|(task, _)| lasts(task));
-        lasting.fold(life.listing.capacity, |room, (_, run)| room.saturating_sub(&run.need))
+        let lasting = instance.runs.iter().filter(|(task, _)| lasts(task));
+        lasting
+            .fold(instance.registration.capacity, |room, (_, run)| room.saturating_sub(&run.need))
     }
 
     /// Workers of this shard that count where a job is judged.
-    fn own_listings(&self, now: Instant) -> impl Iterator<Item = &WorkerListing> + Clone {
-        self.lives.iter().filter(move |life| life.counts(now)).map(|life| &life.listing)
+    fn own_registrations(&self, now: Instant) -> impl Iterator<Item = &WorkerRegistration> + Clone {
+        self.instances
+            .iter()
+            .filter(move |instance| instance.counts(now))
+            .map(|instance| &instance.registration)
     }
 
     /// Tells the other shards of a job what they have to know by now.
@@ -140,7 +148,7 @@
             None => {
                 let mut job = GraphJob::new(record, now);
                 job.shard = self.scope.shard.clone();
-                job.give_up = now + NEVER;
+                job.submit_deadline = now + NEVER;
                 self.jobs.insert(job);
                 self.commits.add(id);
                 self.pass_wanted = true;
@@ -151,7 +159,7 @@
     /// A share of a job that was accepted here has failed, and so has the job.
     pub fn fail_shared(&mut self, now: Instant, unix: UnixMillis, id: &GraphId) {
         match self.jobs.get(id) {
-            Some(job) if job.over() && job.shown.is_none() => {}
+            Some(job) if job.over() && job.stored_verdict.is_none() => {}
             Some(job) if !job.over() => {
                 let effect = self.jobs.fail(id, unix);
                 info!(job = &**id, stops = effect.stops.len(); "a share of a job has failed");
@@ -166,7 +174,7 @@
     /// The owner of a job that is run here in part has ended it.
     pub fn cancel_share(&mut self, now: Instant, unix: UnixMillis, id: &GraphId) {
         match self.jobs.get(id) {
-            Some(job) if job.shown.is_some() => {
+            Some(job) if job.stored_verdict.is_some() => {
                 self.commits.settle_notice(id.clone(), NoticeKind::Cancel, now);
             }
             Some(job) if job.over() => {}
--- a/src/graph/controller/storing.rs
+++ b/src/graph/controller/storing.rs
@@ -19,7 +19,7 @@
         if !self.commits.is_due(now) {
             return;
         }
-        let old = unix.saturating_sub(self.bounds.remembered.as_millis() as u64);
+        let old = unix.saturating_sub(self.bounds.retention.as_millis() as u64);
         for id in self.jobs.ended_before(old) {
             self.commits.remove(id, now);
         }
@@ -42,12 +42,12 @@
 
     fn effect_of(&self, ids: &GroupIds) -> GroupEffect {
         let mut effect = GroupEffect::default();
-        for life in self.lives.iter() {
-            if ids.whole {
-                effect.ends.insert(life.life_id(), life.seen);
+        for instance in self.instances.iter() {
+            if ids.complete {
+                effect.ends.insert(instance.instance_id(), instance.seen);
             }
-            if ids.workers && life.claimed {
-                effect.noted.insert(life.id().clone());
+            if ids.workers && instance.claimed {
+                effect.in_store.insert(instance.id().clone());
             }
         }
         effect
@@ -76,7 +76,7 @@
             removed: ids.removed,
             notices: ids.notices.into_iter().filter_map(notice).collect(),
             settled: ids.settled,
-            workers: ids.workers.then(|| self.lives.in_use()),
+            workers: ids.workers.then(|| self.instances.in_use()),
         }
     }
 
@@ -124,7 +124,7 @@
                 continue;
             };
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.shown = Some(verdict);
+                job.stored_verdict = Some(verdict);
                 info!(job = &*id, verdict:?, group = number; "job ended");
             }
             self.advice.forget(&id);
@@ -149,12 +149,12 @@
         for id in &group.removed {
             self.jobs.remove(id);
         }
-        for (life, number) in effect.ends {
-            self.lives.stored(now, &life, number);
+        for (instance, number) in effect.ends {
+            self.instances.stored(now, &instance, number);
         }
-        for worker in effect.noted {
-            if let Some(life) = self.lives.get_mut(&worker) {
-                life.noted = true;
+        for worker in effect.in_store {
+            if let Some(instance) = self.instances.get_mut(&worker) {
+                instance.in_store = true;
             }
         }
     }
--- a/src/graph/controller/submissions.rs
+++ b/src/graph/controller/submissions.rs
@@ -32,11 +32,11 @@
 
 /// A job that waits for the registrations to be read.
 #[derive(Clone, Debug)]
-pub(super) struct HeldSubmission {
+pub(super) struct DeferredSubmission {
     call: CallId,
     attempt: AttemptId,
     /// How long the caller waits, from `since`.
-    patience: Duration,
+    caller_timeout: Duration,
     record: GraphRecord,
     /// Whether it is to be taken though another shard might be better.
     forced: bool,
@@ -52,18 +52,18 @@
         now: Instant,
         call: CallId,
         attempt: AttemptId,
-        patience: Duration,
+        caller_timeout: Duration,
         record: GraphRecord,
     ) {
         let known = self.jobs.get(&record.spec.id).is_some();
         match self.better_shard(now, &record).filter(|_| !known) {
             _ if !known && self.awaits_registrations() => {
-                self.hold(now, call, attempt, patience, record, false);
+                self.hold(now, call, attempt, caller_timeout, record, false);
             }
             Some(shard) => {
                 self.actions.push(GraphAction::Answer(call, GraphAnswer::Elsewhere(shard)));
             }
-            None => self.submit_here(now, call, attempt, patience, record),
+            None => self.submit_here(now, call, attempt, caller_timeout, record),
         }
     }
 
@@ -75,7 +75,7 @@
         now: Instant,
         call: CallId,
         attempt: AttemptId,
-        patience: Duration,
+        caller_timeout: Duration,
         record: GraphRecord,
     ) {
         let id = record.spec.id.clone();
@@ -90,7 +90,7 @@
                 return;
             }
             None if self.awaits_registrations() => {
-                self.hold(now, call, attempt, patience, record, true);
+                self.hold(now, call, attempt, caller_timeout, record, true);
                 return;
             }
             None if self.is_too_large(now, &record) => {
@@ -100,10 +100,10 @@
             None => {
                 let mut job = GraphJob::new(record, now);
                 job.shard = self.scope.shard.clone();
-                job.home = choose_home(&self.lives, &job, now);
+                job.home = choose_home(&self.instances, &job, now);
                 job.share = self.share_out(now, &job);
-                let way = REFUSAL_WAY.min(patience / WAY_PART);
-                job.give_up = now + STORE_WAIT.min(patience.saturating_sub(way));
+                let way = REFUSAL_WAY.min(caller_timeout / WAY_PART);
+                job.submit_deadline = now + STORE_WAIT.min(caller_timeout.saturating_sub(way));
                 self.jobs.insert(job);
                 self.commits.add(id.clone());
                 self.pass_wanted = true;
@@ -118,31 +118,40 @@
         now: Instant,
         call: CallId,
         attempt: AttemptId,
-        patience: Duration,
+        caller_timeout: Duration,
         record: GraphRecord,
         forced: bool,
     ) {
-        let way = REFUSAL_WAY.min(patience / WAY_PART);
-        let until = now + READING_WAIT.min(patience.saturating_sub(way));
+        let way = REFUSAL_WAY.min(caller_timeout / WAY_PART);
+        let until = now + READING_WAIT.min(caller_timeout.saturating_sub(way));
         let since = now;
-        self.held.push(HeldSubmission { call, attempt, patience, record, forced, since, until });
+        self.held.push(DeferredSubmission {
+            call,
+            attempt,
+            caller_timeout,
+            record,
+            forced,
+            since,
+            until,
+        });
     }
 
     /// Takes in the jobs that have waited for the registrations.
     pub(super) fn take_held(&mut self, now: Instant) {
         for held in std::mem::take(&mut self.held) {
-            let HeldSubmission { call, attempt, record, forced, .. } = held;
-            let patience = held.patience.saturating_sub(now.saturating_duration_since(held.since));
+            let DeferredSubmission { call, attempt, record, forced, .. } = held;
+            let caller_timeout =
+                held.caller_timeout.saturating_sub(now.saturating_duration_since(held.since));
             match forced {
-                true => self.submit_here(now, call, attempt, patience, record),
-                false => self.submit(now, call, attempt, patience, record),
+                true => self.submit_here(now, call, attempt, caller_timeout, record),
+                false => self.submit(now, call, attempt, caller_timeout, record),
             }
         }
     }
 
     /// Turns away jobs that have waited long for the registrations.
     pub(super) fn release_overdue(&mut self, now: Instant) {
-        let overdue: Vec<HeldSubmission> =
+        let overdue: Vec<DeferredSubmission> =
             self.held.extract_if(.., |held| held.until <= now).collect();
         for held in overdue {
             info!(job = &*held.record.spec.id; "job not taken: the registrations are not read yet");
@@ -183,7 +192,7 @@
     /// not taken them.
     pub(super) fn reject_waiting(&mut self, now: Instant) {
         let jobs = &self.jobs;
-        let waited = |id: &GraphId| jobs.get(id).is_none_or(|job| job.give_up <= now);
+        let waited = |id: &GraphId| jobs.get(id).is_none_or(|job| job.submit_deadline <= now);
         for id in self.commits.take_added(waited) {
             self.reject_job(now, &id);
         }
--- a/src/graph/controller/findings.rs
+++ b/src/graph/controller/worker_events.rs
@@ -10,9 +10,9 @@
 use crate::graph::crash::PROBATION;
 use crate::graph::exchange::{EndReport, RunReport};
 use crate::graph::jobs::{JobEffect, RunToStop};
-use crate::graph::life_finding::{LifeFinding, LostRun};
 use crate::graph::name::{GraphId, RunNumber, TaskName};
-use crate::graph::worker::{LifeEnd, RunPhase, WorkerRun};
+use crate::graph::worker::{InstanceEnd, RunPhase, WorkerRun};
+use crate::graph::worker_event::{LostRun, WorkerEvent};
 use crate::id::{UnixMillis, WorkerId};
 
 /// Counts a run that ended without an end that its worker told.
@@ -21,74 +21,76 @@
 }
 
 impl GraphController {
-    pub(super) fn take_findings(&mut self, now: Instant, found: Vec<LifeFinding>) {
-        self.take_findings_at(now, 0, found);
+    pub(super) fn handle_worker_events(&mut self, now: Instant, found: Vec<WorkerEvent>) {
+        self.handle_worker_events_at(now, 0, found);
     }
 
-    pub(super) fn take_findings_at(
+    pub(super) fn handle_worker_events_at(
         &mut self,
         now: Instant,
         unix: UnixMillis,
-        found: Vec<LifeFinding>,
+        found: Vec<WorkerEvent>,
     ) {
-        for finding in found {
+        for diagnostic in found {
             self.pass_wanted = true;
-            match finding {
-                LifeFinding::Ended(worker, end) => self.run_ended(now, unix, &worker, end),
-                LifeFinding::Unknown(worker, report) => self.run_found(now, &worker, report),
-                LifeFinding::InDoubt(worker, task, run) => {
+            match diagnostic {
+                WorkerEvent::Ended(worker, end) => self.run_ended(now, unix, &worker, end),
+                WorkerEvent::Unknown(worker, report) => self.run_found(now, &worker, report),
+                WorkerEvent::InDoubt(worker, task, run) => {
                     self.send_stop(&worker, &task, run);
                 }
-                LifeFinding::Lost(worker, lost) => {
-                    let LostRun { task, run, saved, outlived, .. } = lost;
-                    let heard_ms = outlived.as_millis() as u64;
+                WorkerEvent::Lost(worker, lost) => {
+                    let LostRun { task, run, saved, survived, .. } = lost;
+                    let heard_ms = survived.as_millis() as u64;
                     warn!(task:% = task, run, worker = &*worker, heard_ms; "run lost");
                     count_lost("lost");
                     let mut effect = self.jobs.lost(&task, run, &saved);
-                    effect.changed |= self.jobs.clear_trial(&task, run);
+                    effect.changed |= self.jobs.clear_suspect_run(&task, run);
                     self.apply(now, &task.job, effect);
                 }
-                LifeFinding::GivenUp(worker, lost, trial) => {
-                    let heard_ms = lost.outlived.as_millis() as u64;
+                WorkerEvent::GivenUp(worker, lost, suspect_run) => {
+                    let heard_ms = lost.survived.as_millis() as u64;
                     let (task, run, begun) = (&lost.task, lost.run, lost.begun);
                     warn!(task:% = task, run, worker = &*worker, heard_ms, begun; "run given up with its worker's lease");
                     count_lost("given up");
-                    let effect = self.jobs.given_up(now, unix, &lost, trial);
+                    let effect = self.jobs.given_up(now, unix, &lost, suspect_run);
                     self.apply(now, &task.job, effect);
                 }
-                LifeFinding::Confirmed(worker, task, run) => {
+                WorkerEvent::Confirmed(worker, task, run) => {
                     self.note_begun(now, &task, run, BeginEvidence::Listed);
                     info!(task:% = task, worker = &*worker; "an unanswered start has begun");
                 }
-                LifeFinding::Deposed(worker) => {
+                WorkerEvent::Deposed(worker) => {
                     warn!(worker = &*worker, epoch = self.epoch; "a worker obeys a later leader");
                     self.deposed = true;
                 }
-                LifeFinding::Claimed(worker) => {
-                    let born = self.lives.get(&worker).and_then(|life| life.born);
+                WorkerEvent::Claimed(worker) => {
+                    let born =
+                        self.instances.get(&worker).and_then(|instance| instance.instance_start);
                     info!(worker = &*worker, born, epoch = self.epoch; "worker claimed");
                     self.unheard.remove(&worker);
                     self.commits.note_workers(now, true);
                 }
                 // The verdict has to bear the time, which not every finding comes with.
-                LifeFinding::Crashed(crash) => self.crashes.push(crash),
-                LifeFinding::Doubted(task, trial) => {
-                    info!(task:% = task, run = trial.run, worker = &*trial.worker; "a worker is silent since a start");
-                    let run = trial.run;
-                    self.jobs.note_trial(&task, trial);
+                WorkerEvent::Crashed(crash) => self.crashes.push(crash),
+                WorkerEvent::Doubted(task, suspect_run) => {
+                    info!(task:% = task, run = suspect_run.run, worker = &*suspect_run.worker; "a worker is silent since a start");
+                    let run = suspect_run.run;
+                    self.jobs.note_suspect_run(&task, suspect_run);
                     self.jobs.confirm_run(&task, run);
                     self.commits.change(task.job.clone(), now, true);
                 }
-                LifeFinding::Outlived(task, run) => {
+                WorkerEvent::Survived(task, run) => {
                     info!(task:% = task, run; "a worker has outlived the start of a suspected task");
-                    let effect = self.jobs.outlived(&task);
+                    let effect = self.jobs.survived(&task);
                     self.apply(now, &task.job, effect);
                 }
-                LifeFinding::Over(worker, end) => {
+                WorkerEvent::Over(worker, end) => {
                     info!(worker = &*worker, end:? = end; "worker is gone");
                     metrics::counter!("kelplink_worker_ends_total", "end" => format!("{end:?}"))
                         .increment(1);
-                    self.lost_unheard |= self.unheard.remove(&worker) && end != LifeEnd::Left;
+                    self.lost_before_contact |=
+                        self.unheard.remove(&worker) && end != InstanceEnd::Left;
                     self.advice.forget_worker(&worker);
                     self.commits.note_workers(now, false);
                 }
@@ -121,9 +123,9 @@
         self.commits.touch(now, false);
         let effect = self.jobs.ended(now, unix, worker, &end);
         if effect.superseded
-            && let Some(life) = self.lives.get_mut(worker)
+            && let Some(instance) = self.instances.get_mut(worker)
         {
-            life.withhold(end.number);
+            instance.withhold_ack(end.number);
             warn!(task:% = end.task, run = end.run, worker = &**worker; "an end comes too late");
             metrics::counter!("kelplink_late_ends_total").increment(1);
         }
@@ -132,7 +134,7 @@
 
     /// A run that this leader did not start: it is taken over if it is still wanted.
     pub(super) fn run_found(&mut self, now: Instant, worker: &WorkerId, report: RunReport) {
-        let RunReport { task, run, saved, percent, figure } = report;
+        let RunReport { task, run, saved, percent, measurement } = report;
         let wanted = self.jobs.get(&task.job).is_some_and(|job| {
             let newer = job.live.get(&task.key).is_none_or(|live| live.run < run);
             self.jobs.wants(&task) && newer
@@ -146,12 +148,13 @@
         let suspected = job.is_some_and(|job| job.is_suspected(task.key));
         let known = WorkerRun::new(run, phase, now, origin);
         let listed = true;
-        let entry = WorkerRun { percent, figure, saved, probation, suspected, listed, ..known };
+        let entry =
+            WorkerRun { percent, measurement, saved, probation, suspected, listed, ..known };
         info!(task:% = task, run, worker = &**worker, wanted; "run found on a worker");
         self.note_begun(now, &task, run, BeginEvidence::Listed);
         let older = self.jobs.get(&task.job).and_then(|job| job.live.get(&task.key).cloned());
-        if let Some(life) = self.lives.get_mut(worker) {
-            life.add_run(task.clone(), entry);
+        if let Some(instance) = self.instances.get_mut(worker) {
+            instance.add_run(task.clone(), entry);
         }
         match wanted {
             true => {
--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::graph::exchange::LifeStart;
+use crate::graph::exchange::InstanceStart;
 use crate::graph::name::{RunNumber, TaskName};
 use crate::id::WorkerId;
 
@@ -22,11 +22,11 @@
 const SURE_CRASHES: usize = 2;
 /// Crashes from which a task is given up where nothing else explains the last of them. Each costs a worker with all that
 /// runs there.
-pub(crate) const CLEAR_LIMIT: usize = 2;
+pub(crate) const LONE_CAUSE_CRASH_LIMIT: usize = 2;
 /// The same where other jobs were on probation beside it, or the machine crashes by itself.
-pub(crate) const BLURRED_LIMIT: usize = 3;
+pub(crate) const MULTI_CAUSE_CRASH_LIMIT: usize = 3;
 /// The same where other workers went at the same moment: racks that go three times in a row leave it short of this.
-pub(crate) const COMMON_LIMIT: usize = 4;
+pub(crate) const CORRELATED_CRASH_LIMIT: usize = 4;
 /// The same without two such crashes, where all workers were replaced: a run may have ended unheard before its worker went.
 const PROVEN_LIMIT: usize = 3;
 /// The same where some workers are only silent, or some runs may never have begun.
@@ -67,7 +67,7 @@
 /// A run that may have crashed its worker, as the store keeps it: the next leader may be the one that hears of it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct RunTrial {
+pub struct SuspectRun {
     /// Number of the start.
     pub run: RunNumber,
     /// The worker.
@@ -75,8 +75,9 @@
     /// Where it answered.
     pub address: SocketAddr,
     /// Start of its life that the run was sent to.
+    #[serde(rename = "born")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub born: LifeStart,
+    pub instance_start: InstanceStart,
 }
 
 /// A run on probation when its worker crashed.
--- a/src/graph/crash_table.rs
+++ b/src/graph/crash_table.rs
@@ -10,11 +10,12 @@
 use tokio::time::Instant;
 
 use crate::graph::crash::{
-    BLURRED_LIMIT, CLEAR_LIMIT, COMMON_LIMIT, CrashSuspect, RunTrial, WorkerCrash,
+    CORRELATED_CRASH_LIMIT, CrashSuspect, LONE_CAUSE_CRASH_LIMIT, MULTI_CAUSE_CRASH_LIMIT,
+    SuspectRun, WorkerCrash,
 };
-use crate::graph::exchange::LifeId;
+use crate::graph::exchange::InstanceId;
 use crate::graph::name::TaskName;
-use crate::graph::worker::{RunPhase, WorkerLife, WorkerRun};
+use crate::graph::worker::{RunPhase, WorkerInstance, WorkerRun};
 use crate::id::WorkerId;
 
 /// Workers that fall silent this close to each other have one cause: a rack, a switch or a cut. Calls to a worker that
@@ -31,7 +32,7 @@
 
 /// Runs on probation that were given up with a worker that may have crashed under them.
 #[derive(Debug)]
-struct SilentLife {
+struct SilentInstance {
     address: SocketAddr,
     since: Instant,
     /// When calls began to fail; `None` for one of an earlier leader's time.
@@ -42,7 +43,7 @@
 /// Crashes of workers, and silences that may turn out to be crashes.
 #[derive(Debug, Default)]
 pub(crate) struct CrashTable {
-    silent: BTreeMap<LifeId, SilentLife>,
+    silent: BTreeMap<InstanceId, SilentInstance>,
     /// The last crash of the machine at an address.
     crashed: BTreeMap<SocketAddr, MachineCrash>,
 }
@@ -70,25 +71,31 @@
 impl CrashTable {
     /// A run on probation was given up with the lease of a worker that is silent, or was begun by an earlier leader.
     /// Calls to that worker have failed since `moment`.
-    pub(crate) fn note_trial(
+    pub(crate) fn note_suspect_run(
         &mut self,
         now: Instant,
         task: TaskName,
-        trial: RunTrial,
+        suspect_run: SuspectRun,
         moment: Option<Instant>,
     ) {
-        let RunTrial { run, worker, address, born } = trial;
-        self.silent.retain(|_, life| now.saturating_duration_since(life.since) < PROOF_TIME);
-        let life = self.silent.entry(LifeId::new(worker, born));
-        let life = life.or_insert(SilentLife { address, since: now, moment, suspects: Vec::new() });
-        life.suspects.push(CrashSuspect { task, run, sure: false, begun: false });
+        let SuspectRun { run, worker, address, instance_start } = suspect_run;
+        self.silent
+            .retain(|_, instance| now.saturating_duration_since(instance.since) < PROOF_TIME);
+        let instance = self.silent.entry(InstanceId::new(worker, instance_start));
+        let instance = instance.or_insert(SilentInstance {
+            address,
+            since: now,
+            moment,
+            suspects: Vec::new(),
+        });
+        instance.suspects.push(CrashSuspect { task, run, sure: false, begun: false });
     }
 
     /// A life of a worker answers: where it was silent it has not crashed, and other lives that were have.
-    pub(crate) fn answered(&mut self, now: Instant, life: &LifeId) -> Vec<WorkerCrash> {
-        let over: Vec<(LifeId, SilentLife)> =
-            self.silent.extract_if(.., |silent, _| silent.is_other_life_of(life)).collect();
-        self.silent.retain(|silent, _| silent.worker != life.worker);
+    pub(crate) fn answered(&mut self, now: Instant, instance: &InstanceId) -> Vec<WorkerCrash> {
+        let over: Vec<(InstanceId, SilentInstance)> =
+            self.silent.extract_if(.., |silent, _| silent.is_other_instance_of(instance)).collect();
+        self.silent.retain(|silent, _| silent.worker != instance.worker);
         over.into_iter().map(|(silent, over)| self.prove(now, silent, over)).collect()
     }
 
@@ -96,16 +103,20 @@
     pub(crate) fn crashed(
         &mut self,
         now: Instant,
-        life: &WorkerLife,
+        instance: &WorkerInstance,
         silent: &[Instant],
     ) -> WorkerCrash {
-        let on_probation = life.runs.iter().filter(|(_, run)| run.probation.is_some());
+        let on_probation = instance.runs.iter().filter(|(_, run)| run.probation.is_some());
         let mut suspects: Vec<CrashSuspect> =
-            on_probation.map(|(task, run)| CrashSuspect::new(now, task, run, life)).collect();
-        suspects
-            .extend(self.silent.remove(&life.life_id()).into_iter().flat_map(|life| life.suspects));
-        let (worker, address) = (life.id().clone(), life.address());
-        let moment = life.silent_since;
+            on_probation.map(|(task, run)| CrashSuspect::new(now, task, run, instance)).collect();
+        suspects.extend(
+            self.silent
+                .remove(&instance.instance_id())
+                .into_iter()
+                .flat_map(|instance| instance.suspects),
+        );
+        let (worker, address) = (instance.id().clone(), instance.address());
+        let moment = instance.silent_since;
         self.weigh(now, ProvenCrash { worker, address, moment, suspects }, silent)
     }
 
@@ -116,15 +127,17 @@
         address: SocketAddr,
         known: impl Fn(&WorkerId) -> bool,
     ) -> Vec<WorkerCrash> {
-        let gone = |id: &LifeId, life: &SilentLife| life.address == address && !known(&id.worker);
-        let gone: Vec<(LifeId, SilentLife)> =
-            self.silent.extract_if(.., |id, life| gone(id, life)).collect();
-        gone.into_iter().map(|(id, life)| self.prove(now, id, life)).collect()
+        let gone = |id: &InstanceId, instance: &SilentInstance| {
+            instance.address == address && !known(&id.worker)
+        };
+        let gone: Vec<(InstanceId, SilentInstance)> =
+            self.silent.extract_if(.., |id, instance| gone(id, instance)).collect();
+        gone.into_iter().map(|(id, instance)| self.prove(now, id, instance)).collect()
     }
 
     /// A life that was silent has surely crashed.
-    fn prove(&mut self, now: Instant, id: LifeId, life: SilentLife) -> WorkerCrash {
-        let SilentLife { address, moment, suspects, .. } = life;
+    fn prove(&mut self, now: Instant, id: InstanceId, instance: SilentInstance) -> WorkerCrash {
+        let SilentInstance { address, moment, suspects, .. } = instance;
         self.weigh(now, ProvenCrash { worker: id.worker, address, moment, suspects }, &[])
     }
 
@@ -145,9 +158,9 @@
         let alone = !moment.is_some_and(|moment| others.any(|other| is_same_moment(other, moment)));
         let before = self.crashed.get(&address).is_some_and(|crash| crash.unprompted);
         let limit = match alone {
-            true if one_job && !before => CLEAR_LIMIT,
-            true => BLURRED_LIMIT,
-            false => COMMON_LIMIT,
+            true if one_job && !before => LONE_CAUSE_CRASH_LIMIT,
+            true => MULTI_CAUSE_CRASH_LIMIT,
+            false => CORRELATED_CRASH_LIMIT,
         };
         let unprompted = suspects.is_empty() || before;
         self.crashed.insert(address, MachineCrash { noticed: now, moment, unprompted });
@@ -168,15 +181,15 @@
 
 impl CrashSuspect {
     /// A run on probation of a worker that has crashed.
-    fn new(now: Instant, task: &TaskName, run: &WorkerRun, life: &WorkerLife) -> Self {
+    fn new(now: Instant, task: &TaskName, run: &WorkerRun, instance: &WorkerInstance) -> Self {
         let stopping = matches!(run.phase, RunPhase::Stopping { .. });
         let started_after = |(other, later): (&TaskName, &WorkerRun)| {
             other.job != task.job
                 && later.probation.is_some()
                 && later.since >= run.since + LIKELIER_AFTER
         };
-        let went_on = life.surely_went_on(run, now);
-        let sure = went_on && !stopping && !life.runs.iter().any(started_after);
+        let went_on = instance.surely_went_on(run, now);
+        let sure = went_on && !stopping && !instance.runs.iter().any(started_after);
         Self { task: task.clone(), run: run.run, sure, begun: run.begun }
     }
 }
--- a/src/graph/event.rs
+++ b/src/graph/event.rs
@@ -6,7 +6,7 @@
 
 use crate::graph::advice::AdviceCall;
 use crate::graph::commit::CommitGroup;
-use crate::graph::exchange::{CallFailure, LifeStart, PollReply, TicketText};
+use crate::graph::exchange::{CallFailure, InstanceStart, PollReply, TicketText};
 use crate::graph::name::{RunNumber, TaskName};
 use crate::graph::shard::ShardId;
 use crate::id::{CallId, WorkerId};
@@ -33,13 +33,13 @@
         wait: Duration,
     },
     /// Start a run.
-    Start(StartOrder),
+    Start(StartCommand),
     /// Stop a run.
     Stop {
         /// The worker.
         worker: WorkerId,
         /// Start of its life that was heard last.
-        born: LifeStart,
+        instance_start: InstanceStart,
         /// Where it answers.
         address: SocketAddr,
         /// The task.
@@ -70,11 +70,11 @@
 
 /// A start of a run.
 #[derive(Clone, Debug)]
-pub struct StartOrder {
+pub struct StartCommand {
     /// The worker.
     pub worker: WorkerId,
     /// Start of its life that was heard last.
-    pub born: LifeStart,
+    pub instance_start: InstanceStart,
     /// Where it answers.
     pub address: SocketAddr,
     /// The task.
--- a/src/graph/exchange.rs
+++ b/src/graph/exchange.rs
@@ -12,26 +12,28 @@
 
 /// When a life of a worker began, by its time of day. Only tells the lives of a worker apart; `None` where the worker does
 /// not say it.
-pub type LifeStart = Option<UnixMillis>;
+pub type InstanceStart = Option<UnixMillis>;
 
 /// One life of a worker.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct LifeId {
+pub struct InstanceId {
     /// The worker.
     pub worker: WorkerId,
     /// Start of the life; `None` where it is not known.
-    pub born: LifeStart,
+    pub instance_start: InstanceStart,
 }
 
-impl LifeId {
+impl InstanceId {
     /// A life of a worker.
-    pub fn new(worker: WorkerId, born: LifeStart) -> Self {
-        Self { worker, born }
+    pub fn new(worker: WorkerId, instance_start: InstanceStart) -> Self {
+        Self { worker, instance_start }
     }
 
     /// Whether both are surely different lives of the same worker.
-    pub fn is_other_life_of(&self, other: &Self) -> bool {
-        let told_apart = self.born.is_some() && other.born.is_some() && self.born != other.born;
+    pub fn is_other_instance_of(&self, other: &Self) -> bool {
+        let told_apart = self.instance_start.is_some()
+            && other.instance_start.is_some()
+            && self.instance_start != other.instance_start;
         told_apart && self.worker == other.worker
     }
 }
@@ -41,11 +43,11 @@
 
 /// A worker as it registers itself.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorkerListing {
+pub struct WorkerRegistration {
     /// Its name, which it may keep when it starts again.
     pub id: WorkerId,
     /// Start of the life that registered, where it says so.
-    pub born: LifeStart,
+    pub instance_start: InstanceStart,
     /// Where it answers.
     pub address: SocketAddr,
     /// Service that it belongs to.
@@ -76,8 +78,9 @@
     #[serde(default = "unknown_domain")]
     pub domain: DomainId,
     /// Start of the life that was heard last.
+    #[serde(rename = "born")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub born: LifeStart,
+    pub instance_start: InstanceStart,
 }
 
 fn unknown_domain() -> DomainId {
@@ -96,7 +99,7 @@
     /// Share of its work that is done; 100 for a lasting task that is at work.
     pub percent: u32,
     /// Tail latency in milliseconds of a task that serves, processors in use of any other.
-    pub figure: u32,
+    pub measurement: u32,
 }
 
 /// How a run ended.
@@ -135,7 +138,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PollReply {
     /// Start of the life that answers.
-    pub born: LifeStart,
+    pub instance_start: InstanceStart,
     /// The worker's steady clock.
     pub clock: Duration,
     /// All that runs.
--- a/src/graph/home.rs
+++ b/src/graph/home.rs
@@ -11,12 +11,12 @@
 
 use tokio::time::Instant;
 
-use crate::graph::exchange::WorkerListing;
+use crate::graph::exchange::WorkerRegistration;
+use crate::graph::instances::{InstanceTable, SILENCE_LIMIT};
 use crate::graph::job::GraphJob;
-use crate::graph::lives::{LifeTable, SILENCE};
 use crate::graph::queue::QueueRule;
-use crate::graph::room::room_for;
 use crate::graph::spec::StepSpec;
+use crate::graph::step_capacity::tasks_that_fit;
 use crate::id::DomainId;
 
 /// Longest objective of a job that has a home: what may take longer outlives a cut of a domain, which
@@ -24,7 +24,11 @@
 const LONGEST_OBJECTIVE: Duration = Duration::from_secs(10);
 
 /// The failure domain with most room for a new job; `None` for one that may run anywhere.
-pub(crate) fn choose_home(lives: &LifeTable, job: &GraphJob, now: Instant) -> Option<DomainId> {
+pub(crate) fn choose_home(
+    instances: &InstanceTable,
+    job: &GraphJob,
+    now: Instant,
+) -> Option<DomainId> {
     let bound = job.spec.steps.iter().any(|step| step.gang || step.lasting);
     if bound || job.spec.repeat.is_some() || job.objective() > LONGEST_OBJECTIVE {
         return None;
@@ -33,21 +37,25 @@
     let most = widest.max_per_worker.unwrap_or(u32::MAX);
     let mut room: BTreeMap<&DomainId, u32> = BTreeMap::new();
     let service = &job.rule.service;
-    for life in lives.iter().filter(|life| life.open(now, SILENCE)) {
-        if life.listing.service == *service && life.has_label(widest) {
-            *room.entry(&life.listing.domain).or_default() +=
-                room_for(&life.free(), &widest.reservation()).min(most);
+    for instance in instances.iter().filter(|instance| instance.accepts_work(now, SILENCE_LIMIT)) {
+        if instance.registration.service == *service && instance.has_label(widest) {
+            *room.entry(&instance.registration.domain).or_default() +=
+                tasks_that_fit(&instance.free(), &widest.reservation()).min(most);
         }
     }
     room.into_iter().max_by_key(|(_, room)| *room).map(|(domain, _)| domain.clone())
 }
 
 /// Whether a worker can run tasks of a step while it is empty, whatever advice says.
-pub(crate) fn runs_on(step: &StepSpec, rule: &QueueRule, listing: &WorkerListing) -> bool {
-    listing.service == rule.service
-        && listing.leaving.is_none()
-        && step.label.as_ref().is_none_or(|label| listing.labels.contains(label))
-        && step.reservation().fits(&listing.capacity)
+pub(crate) fn can_run_on(
+    step: &StepSpec,
+    rule: &QueueRule,
+    registration: &WorkerRegistration,
+) -> bool {
+    registration.service == rule.service
+        && registration.leaving.is_none()
+        && step.label.as_ref().is_none_or(|label| registration.labels.contains(label))
+        && step.reservation().fits(&registration.capacity)
 }
 
 /// Failure domains in which an earlier leader's runs may still go on unseen.
--- /dev/null
+++ b/src/graph/instances.rs
@@ -0,0 +1,540 @@
+//! All workers of a leader: polls, leases, and what their answers say of runs.
+
+mod restart;
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use log::warn;
+use tokio::time::Instant;
+
+use crate::graph::crash::SuspectRun;
+use crate::graph::crash_table::CrashTable;
+use crate::graph::event::GraphAction;
+use crate::graph::exchange::{
+    CallFailure, EndKind, InstanceId, PollReply, RunReport, UsedWorker, WorkerRefusal,
+    WorkerRegistration,
+};
+use crate::graph::name::TaskName;
+use crate::graph::poll_pacer::{IDLE_WAIT, PollPacer};
+use crate::graph::worker::{InstanceEnd, RunPhase, WorkerInstance, WorkerRun};
+use crate::graph::worker_event::{LostRun, WorkerEvent};
+use crate::id::WorkerId;
+
+/// How long what runs at a worker goes on without another call. A worker that dies holds its tasks
+/// for that long; a leader that dies must be replaced within it.
+pub(crate) const WORKER_LEASE: Duration = Duration::from_millis(4_500);
+/// Pause before the next poll while ends wait for the store.
+const STORE_PAUSE: Duration = Duration::from_millis(250);
+/// Pause before the next poll of a worker that lists an end for good: it answers each at once.
+const WITHHELD_PAUSE: Duration = Duration::from_millis(250);
+/// How long after a list the life that gave it counts as the one that the next poll reaches. A worker does not start again,
+/// and a task does not begin and end there, within that time.
+const SAME_INSTANCE_TIME: Duration = Duration::from_millis(300);
+/// Pause after the second poll in a row without an answer, doubled with each up to the longest. After the
+/// first there is none: a single poll that was lost says nothing of the worker.
+const MISS_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause after polls without an answer.
+const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+/// A worker that has not answered for this long is given no new work.
+pub(crate) const SILENCE_LIMIT: Duration = Duration::from_millis(1_900);
+/// Calls in a row without an answer, and time since the first, from which the runs on probation at a worker are kept
+/// in the store: of the polls one in twenty may be lost.
+const DOUBTED_MISSES: u32 = 2;
+const DOUBTED_SILENCE: Duration = Duration::from_millis(100);
+/// How long a worker whose registration has gone counts on where a job is judged: registrations that expired while the
+/// store was away are back two seconds after it, and the watch tells of them later.
+pub(crate) const RETURN_TIME: Duration = Duration::from_millis(2_500);
+/// Shortest time from one poll to the next: ends that come close together share an answer.
+const POLL_GAP: Duration = Duration::from_millis(15);
+
+/// All workers.
+#[derive(Debug, Default)]
+pub struct InstanceTable {
+    instances: BTreeMap<WorkerId, WorkerInstance>,
+    crashes: CrashTable,
+    pacer: PollPacer,
+    /// Longest lease that a worker takes.
+    longest_lease: Duration,
+}
+
+impl InstanceTable {
+    /// No workers yet.
+    pub fn new(longest_lease: Duration) -> Self {
+        Self { longest_lease, ..Self::default() }
+    }
+
+    /// One worker.
+    pub fn get(&self, id: &WorkerId) -> Option<&WorkerInstance> {
+        self.instances.get(id)
+    }
+
+    /// One worker, to change.
+    pub(crate) fn get_mut(&mut self, id: &WorkerId) -> Option<&mut WorkerInstance> {
+        self.instances.get_mut(id)
+    }
+
+    /// All workers.
+    pub fn iter(&self) -> impl Iterator<Item = &WorkerInstance> + Clone {
+        self.instances.values()
+    }
+
+    /// All workers, to change.
+    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut WorkerInstance> {
+        self.instances.values_mut()
+    }
+
+    /// A run of an earlier leader may have crashed its worker.
+    pub(crate) fn inherit_suspect_run(
+        &mut self,
+        now: Instant,
+        task: TaskName,
+        suspect_run: SuspectRun,
+    ) {
+        self.crashes.note_suspect_run(now, task, suspect_run, None);
+    }
+
+    /// Whether the machine of a worker has crashed lately.
+    pub(crate) fn crashed_lately(&self, now: Instant, instance: &WorkerInstance) -> bool {
+        self.crashes.crashed_lately(now, &instance.address())
+    }
+
+    /// Takes in a registration. Of two lives at an address only the worker itself can tell which is over: an
+    /// earlier one may be registered once more after the newer. So the others there are polled at once, and a
+    /// life that is over is refused. Taking the last to register for the newer had up to 13 tasks of a day
+    /// run twice, on days on which workers crash behind a cut.
+    pub(crate) fn registered(&mut self, now: Instant, registration: WorkerRegistration) {
+        let others = self.instances.values_mut().filter(|instance| {
+            instance.address() == registration.address && *instance.id() != registration.id
+        });
+        for other in others {
+            other.next_poll = now;
+        }
+        match self.instances.get_mut(&registration.id) {
+            Some(instance) => {
+                (instance.registered, instance.expected_until) = (true, None);
+                instance.update_registration(now, registration);
+            }
+            None => {
+                let instance = WorkerInstance::new(registration, now);
+                self.instances.insert(instance.id().clone(), instance);
+            }
+        }
+    }
+
+    /// A worker that the store names, before or without its registration.
+    pub(crate) fn used(
+        &mut self,
+        now: Instant,
+        used: &UsedWorker,
+        registration: WorkerRegistration,
+    ) {
+        let instance = self.instances.entry(used.id.clone()).or_insert_with(|| {
+            let mut instance = WorkerInstance::new(registration, now);
+            instance.registered = false;
+            instance
+        });
+        instance.in_store = true;
+        instance.instance_start = used.instance_start;
+    }
+
+    /// A registration has gone. The worker may still run, and register again.
+    pub(crate) fn unregistered(&mut self, now: Instant, id: &WorkerId) {
+        if let Some(instance) = self.instances.get_mut(id)
+            && std::mem::replace(&mut instance.registered, false)
+        {
+            instance.expected_until = instance.leaves.is_none().then(|| now + RETURN_TIME);
+        }
+    }
+
+    /// A worker is not to be used any more, though it may be registered.
+    pub(crate) fn set_aside(&mut self, id: &WorkerId) {
+        if let Some(instance) = self.instances.get_mut(id) {
+            (instance.registered, instance.expected_until) = (false, None);
+        }
+    }
+
+    /// Another life of a worker answers in place of this one.
+    pub(crate) fn replaced(&mut self, now: Instant, id: &WorkerId) -> Vec<WorkerEvent> {
+        let Some(instance) = self.instances.get(id) else {
+            return Vec::new();
+        };
+        if instance.leaves.is_some() {
+            return self.over(id, InstanceEnd::Left);
+        }
+        let silent = self.silent_beside(id);
+        let crash = self.crashes.crashed(now, instance, &silent);
+        let mut found = self.over(id, InstanceEnd::Replaced);
+        found.push(WorkerEvent::Crashed(crash));
+        found
+    }
+
+    /// Since when other workers have been silent.
+    fn silent_beside(&self, id: &WorkerId) -> Vec<Instant> {
+        let others = self.instances.values().filter(|other| other.id() != id);
+        others.filter_map(|other| other.silent_since).collect()
+    }
+
+    /// A life that has ended: all its runs are lost.
+    fn over(&mut self, id: &WorkerId, end: InstanceEnd) -> Vec<WorkerEvent> {
+        let Some(instance) = self.instances.remove(id) else {
+            return Vec::new();
+        };
+        let mut found = vec![WorkerEvent::Over(id.clone(), end)];
+        let lost =
+            instance.runs.into_iter().map(|(task, run)| LostRun::new(task, run, instance.answered));
+        found.extend(lost.map(|lost| WorkerEvent::Lost(id.clone(), lost)));
+        found
+    }
+
+    /// Polls that are due. Without `extend` leases are left as they are, and so are those of workers that
+    /// left the last call unanswered: a poll that may still arrive counts as an extension, and a worker
+    /// that is cut off for 6 s would hold its tasks for 10 s instead of 5.
+    pub(crate) fn polls(&mut self, now: Instant, extend: bool) -> Vec<GraphAction> {
+        let due = |instance: &&mut WorkerInstance| {
+            instance.polling.is_none() && instance.next_poll <= now
+        };
+        let busy_wait = self.pacer.busy_wait(now, self.instances.len());
+        let mut polls = Vec::new();
+        for instance in self.instances.values_mut().filter(due) {
+            instance.polling = Some(now);
+            // An idle worker that is not registered is left alone once its lease is over: it was polled for good.
+            let used = instance.registered || !instance.runs.is_empty();
+            // Another life would forget its first ends unread by the number of this one.
+            let same_instance = instance.heard.is_some_and(|at| now - at <= SAME_INSTANCE_TIME);
+            let until = match extend && used && instance.misses == 0 {
+                true => instance.extend_lease(now, WORKER_LEASE),
+                false => None,
+            };
+            instance.offered_lease_end = until;
+            let heard = instance.durable == instance.seen && instance.withheld_end.is_none();
+            let current = instance.claimed && heard && instance.misses == 0;
+            let wait = match current {
+                true if instance.runs.is_empty() => IDLE_WAIT,
+                true => busy_wait,
+                false => Duration::ZERO,
+            };
+            polls.push(GraphAction::Poll {
+                worker: instance.id().clone(),
+                address: instance.address(),
+                until,
+                acked: if same_instance { instance.acknowledgeable() } else { 0 },
+                wait,
+            });
+        }
+        polls
+    }
+
+    /// When the next poll is due.
+    pub(crate) fn next_poll(&self) -> Option<Instant> {
+        let idle = self.instances.values().filter(|instance| instance.polling.is_none());
+        idle.map(|instance| instance.next_poll).min()
+    }
+
+    /// Takes in the answer to a poll.
+    pub(crate) fn polled(
+        &mut self,
+        now: Instant,
+        id: &WorkerId,
+        reply: PollReply,
+    ) -> Vec<WorkerEvent> {
+        let mut found = self.heard(now, id, &reply);
+        let Some(instance) = self.instances.get_mut(id) else {
+            return found;
+        };
+        if let Some(first) = reply.ended.first().map(|end| end.number)
+            && instance.seen > 0
+            && first > instance.seen + 1
+        {
+            let (after, worker) = (instance.seen, &**id);
+            warn!(worker, after, first; "ends of a worker are missing from its list");
+            metrics::counter!("kelplink_missing_ends_total").increment(first - after - 1);
+        }
+        for end in reply.ended {
+            if end.number > instance.seen {
+                instance.seen = end.number;
+                if end.kind == EndKind::Lapsed {
+                    instance.last_lease_expiry = end.number;
+                }
+                if instance.runs.get(&end.task).is_some_and(|run| run.run == end.run) {
+                    instance.remove_run(&end.task);
+                }
+                match end.kind {
+                    EndKind::Done => instance.health.note_success(),
+                    EndKind::Failed => instance.health.note_failure(now, &end.task.job),
+                    EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => {}
+                }
+                found.push(WorkerEvent::Ended(id.clone(), end));
+            }
+        }
+        if reply.clock < instance.snapshot {
+            let (newest, clock) = (instance.snapshot.as_millis(), reply.clock.as_millis());
+            if !std::mem::replace(&mut instance.overtaken, true) {
+                warn!(worker = &**id, newest_ms = newest as u64, clock_ms = clock as u64; "a list of runs is older than one before");
+            }
+            metrics::counter!("kelplink_overtaken_lists_total").increment(1);
+        } else {
+            instance.overtaken = false;
+            instance.snapshot = reply.clock;
+            let running = take_running(instance, now, reply.running, reply.clock);
+            found.extend(running);
+        }
+        if instance.withheld_end.is_some_and(|number| number < instance.last_lease_expiry) {
+            instance.withheld_end = None;
+        }
+        instance.next_poll = match instance.durable == instance.seen {
+            _ if instance.withheld_end.is_some() => now + WITHHELD_PAUSE,
+            true => now + POLL_GAP,
+            false => now + STORE_PAUSE,
+        };
+        found
+    }
+
+    /// A worker answers a poll: which of its lives that is, its clock and its lease.
+    fn heard(&mut self, now: Instant, id: &WorkerId, reply: &PollReply) -> Vec<WorkerEvent> {
+        let Some(instance) = self.instances.get_mut(id) else {
+            return Vec::new();
+        };
+        if instance.misses == 1 {
+            self.pacer.note_lost(now);
+        }
+        let known_instance = instance.instance_start == reply.instance_start;
+        let mut found = match instance.is_other_instance(reply.instance_start) {
+            true => self.restarted(now, id, reply),
+            false => Vec::new(),
+        };
+        let Some(instance) = self.instances.get_mut(id) else {
+            return found;
+        };
+        instance.instance_start = reply.instance_start.or(instance.instance_start);
+        let asked = instance.polling.take();
+        instance.confirm_list(now, asked);
+        instance.heard = Some(now);
+        instance.note_answer(now, reply.clock);
+        let offered_lease_end = instance.offered_lease_end.take();
+        instance.grant_lease(offered_lease_end);
+        let claimed = std::mem::replace(&mut instance.claimed, true);
+        // Its lease may have been extended by the clock of a life before.
+        if !known_instance {
+            instance.inherit_lease(self.longest_lease);
+        } else if !claimed {
+            instance.inherit_lease(self.longest_lease.min(WORKER_LEASE));
+        }
+        let (instance_id, address) = (instance.instance_id(), instance.address());
+        let mut crashed = self.crashes.answered(now, &instance_id);
+        if !claimed {
+            found.push(WorkerEvent::Claimed(id.clone()));
+            let known = |id: &WorkerId| self.instances.contains_key(id);
+            crashed.extend(self.crashes.succeeded(now, address, known));
+        }
+        found.extend(crashed.into_iter().map(WorkerEvent::Crashed));
+        found
+    }
+
+    /// Ends up to a number are stored: the next poll says so.
+    pub(crate) fn stored(&mut self, now: Instant, id: &InstanceId, number: u64) {
+        if let Some(instance) = self.instances.get_mut(&id.worker)
+            && instance.instance_start == id.instance_start
+            && instance.durable < number
+        {
+            instance.durable = number;
+            if instance.durable == instance.seen {
+                instance.next_poll = instance.next_poll.min(now + POLL_GAP);
+            }
+        }
+    }
+
+    /// A poll failed.
+    pub(crate) fn poll_failed(
+        &mut self,
+        now: Instant,
+        id: &WorkerId,
+        failure: &CallFailure,
+    ) -> Vec<WorkerEvent> {
+        let Some(instance) = self.instances.get_mut(id) else {
+            return Vec::new();
+        };
+        instance.polling = None;
+        instance.heard = None;
+        instance.note_silence(now);
+        instance.next_poll = now + miss_pause(instance.misses);
+        if let CallFailure::NothingThere = failure {
+            instance.note_refused(now);
+        }
+        match failure {
+            CallFailure::Refused(WorkerRefusal::OtherLife) => self.replaced(now, id),
+            CallFailure::Refused(WorkerRefusal::Deposed) => {
+                vec![WorkerEvent::Deposed(id.clone())]
+            }
+            CallFailure::NothingThere if instance.left(now) => self.over(id, InstanceEnd::Left),
+            _ => Vec::new(),
+        }
+    }
+
+    /// Runs on probation that have begun on workers that have fallen silent. The store keeps them before it is known
+    /// what became of the worker, which is back seconds after a crash: a leader that was lost meanwhile left the next
+    /// to count anew.
+    pub(crate) fn doubted(&mut self, now: Instant) -> Vec<WorkerEvent> {
+        let silent = |instance: &&mut WorkerInstance| {
+            let since = instance.silent_since.filter(|_| instance.misses >= DOUBTED_MISSES);
+            since.is_some_and(|since| now.saturating_duration_since(since) >= DOUBTED_SILENCE)
+        };
+        let mut found = Vec::new();
+        for instance in self.instances.values_mut().filter(silent) {
+            let new = instance.runs.iter().filter(|(_, run)| run.begun && !run.doubted);
+            let trials: Vec<(TaskName, SuspectRun)> = new
+                .filter_map(|(task, run)| Some((task.clone(), instance.suspect_run(run)?)))
+                .collect();
+            for (task, suspect_run) in trials {
+                if let Some(run) = instance.runs.get_mut(&task) {
+                    (run.doubted, run.suspected) = (true, true);
+                }
+                found.push(WorkerEvent::Doubted(task, suspect_run));
+            }
+        }
+        found
+    }
+
+    /// Runs of workers whose lease is surely over.
+    pub(crate) fn lapsed(&mut self, now: Instant) -> Vec<WorkerEvent> {
+        let (mut found, longest) = (Vec::new(), self.longest_lease);
+        for instance in self.instances.values_mut() {
+            if instance.runs.is_empty() || !instance.lease_over(now) {
+                continue;
+            }
+            let over =
+                instance.runs.iter().filter(|(_, run)| instance.is_surely_over(run, now, longest));
+            let tasks: Vec<TaskName> = over.map(|(task, _)| task.clone()).collect();
+            for task in tasks {
+                if let Some(run) = instance.remove_run(&task) {
+                    let suspect_run = instance.suspect_run(&run);
+                    if let Some(suspect_run) = suspect_run.clone() {
+                        self.crashes.note_suspect_run(
+                            now,
+                            task.clone(),
+                            suspect_run,
+                            instance.silent_since,
+                        );
+                    }
+                    let lost = LostRun::new(task, run, instance.answered);
+                    found.push(WorkerEvent::GivenUp(instance.id().clone(), lost, suspect_run));
+                }
+            }
+        }
+        found
+    }
+
+    /// Workers that are neither registered nor able to run anything any more; once everything from
+    /// before this leader's time is over, also those that it has never heard.
+    pub(crate) fn vanished(&mut self, now: Instant, settled: bool) -> Vec<WorkerEvent> {
+        let gone = |instance: &&WorkerInstance| {
+            let over = if instance.claimed { instance.lease_over(now) } else { settled };
+            let expected = instance.misses == 0 && instance.counts(now);
+            !instance.registered && !expected && instance.runs.is_empty() && over
+        };
+        let gone: Vec<WorkerId> =
+            self.instances.values().filter(gone).map(|l| l.id().clone()).collect();
+        gone.iter().flat_map(|id| self.over(id, InstanceEnd::Vanished)).collect()
+    }
+
+    /// Workers that the store has to name.
+    pub(crate) fn in_use(&self) -> Vec<UsedWorker> {
+        let claimed =
+            self.instances.values().filter(|instance| instance.claimed || instance.in_store);
+        let used = |instance: &WorkerInstance| UsedWorker {
+            id: instance.id().clone(),
+            address: instance.address(),
+            domain: instance.registration.domain.clone(),
+            instance_start: instance.instance_start,
+        };
+        claimed.map(used).collect()
+    }
+}
+
+/// Pause after a number of polls in a row without an answer.
+fn miss_pause(misses: u32) -> Duration {
+    match misses {
+        0 | 1 => Duration::ZERO,
+        more => (MISS_PAUSE * (1 << (more - 2).min(4))).min(LONGEST_PAUSE),
+    }
+}
+
+impl WorkerInstance {
+    /// A run on probation that goes on a worker that has not announced that it leaves.
+    fn suspect_run(&self, run: &WorkerRun) -> Option<SuspectRun> {
+        let tried = run.probation.is_some() && self.leaves.is_none();
+        let (worker, address, instance_start) =
+            (self.id().clone(), self.address(), self.instance_start);
+        tried.then_some(SuspectRun { run: run.run, worker, address, instance_start })
+    }
+
+    /// Whether it has left as announced: unregistered, its time over, and nothing answers there.
+    fn left(&self, now: Instant) -> bool {
+        !self.registered && self.leaves.is_some_and(|leaves| leaves <= now)
+    }
+}
+
+/// Compares a list of what runs with what is known of the worker.
+fn take_running(
+    instance: &mut WorkerInstance,
+    now: Instant,
+    running: Vec<RunReport>,
+    clock: Duration,
+) -> Vec<WorkerEvent> {
+    let id = instance.id().clone();
+    let mut found = Vec::new();
+    let (mut work, mut time) = (Duration::ZERO, Duration::ZERO);
+    let mut listed = BTreeMap::new();
+    for report in running {
+        listed.insert(report.task.clone(), report.run);
+        match instance.runs.get_mut(&report.task).filter(|run| run.run == report.run) {
+            Some(run) => {
+                run.listed = true;
+                if let RunPhase::Sent { .. } = run.phase {
+                    run.phase = RunPhase::Running { confirmed: clock };
+                }
+                if run.confirm(now) {
+                    found.push(WorkerEvent::Confirmed(id.clone(), report.task.clone(), report.run));
+                }
+                if report.percent != run.percent {
+                    run.percent = report.percent;
+                    run.moved = now;
+                }
+                if run.probation.is_some_and(|end| end <= now) {
+                    run.probation = None;
+                    if run.suspected || run.doubted {
+                        found.push(WorkerEvent::Survived(report.task, report.run));
+                    }
+                }
+                run.measurement = report.measurement;
+                run.saved = report.saved;
+                let (done, took) = run.measure(now).unwrap_or_default();
+                work += done;
+                time += took;
+            }
+            None => found.push(WorkerEvent::Unknown(id.clone(), report)),
+        }
+    }
+    instance.health.note_work(now, work, time);
+    let gone = |(task, run): &(&TaskName, &WorkerRun)| {
+        let since = match run.phase {
+            // A start is refused once its time has passed on the worker's clock. A worker that answered
+            // looks, and neither starts nor stops, held a task for good.
+            RunPhase::Sent { .. } | RunPhase::Stopping { answered: None, .. } => match run.until {
+                Some(until) => until,
+                None => return false,
+            },
+            RunPhase::Running { confirmed } => confirmed,
+            RunPhase::Stopping { answered: Some(answered), .. } => answered,
+        };
+        since < clock && listed.get(*task) != Some(&run.run)
+    };
+    let gone: Vec<TaskName> =
+        instance.runs.iter().filter(gone).map(|(task, _)| task.clone()).collect();
+    for task in gone {
+        if let Some(run) = instance.remove_run(&task) {
+            found.push(WorkerEvent::Lost(id.clone(), LostRun::new(task, run, Some(now))));
+        }
+    }
+    found
+}
--- a/src/graph/lives/restart.rs
+++ b/src/graph/instances/restart.rs
@@ -5,15 +5,15 @@
 use tokio::time::Instant;
 
 use crate::graph::exchange::PollReply;
-use crate::graph::life_finding::{LifeFinding, LostRun};
-use crate::graph::lives::LifeTable;
+use crate::graph::instances::InstanceTable;
 use crate::graph::name::TaskName;
-use crate::graph::worker::{LifeEnd, RunPhase, WorkerRun};
+use crate::graph::worker::{InstanceEnd, RunPhase, WorkerRun};
+use crate::graph::worker_event::{LostRun, WorkerEvent};
 use crate::id::WorkerId;
 
 type RunTable = BTreeMap<TaskName, WorkerRun>;
 
-impl LifeTable {
+impl InstanceTable {
     /// Another life answers under the id of a worker. A run that it does not list and that was not surely carried out before
     /// it may still begin there.
     pub(super) fn restarted(
@@ -21,31 +21,31 @@
         now: Instant,
         id: &WorkerId,
         reply: &PollReply,
-    ) -> Vec<LifeFinding> {
+    ) -> Vec<WorkerEvent> {
         let silent = self.silent_beside(id);
-        let Some(life) = self.lives.get_mut(id) else {
+        let Some(instance) = self.instances.get_mut(id) else {
             return Vec::new();
         };
-        let runs = std::mem::take(&mut life.runs).into_iter();
+        let runs = std::mem::take(&mut instance.runs).into_iter();
         let (listed, other): (RunTable, RunTable) =
             runs.partition(|(task, run)| reply.lists(task, run.run));
-        life.runs = other;
-        let crash = life.leaves.is_none().then(|| self.crashes.crashed(now, life, &silent));
-        let (other, answered) = (std::mem::take(&mut life.runs), life.answered);
-        *life = life.next_life(now, reply.born);
+        instance.runs = other;
+        let crash = instance.leaves.is_none().then(|| self.crashes.crashed(now, instance, &silent));
+        let (other, answered) = (std::mem::take(&mut instance.runs), instance.answered);
+        *instance = instance.next_instance(now, reply.instance_start);
         for (task, run) in listed {
-            life.add_run(task, run.carried_over(now, reply));
+            instance.add_run(task, run.carried_over(now, reply));
         }
-        let mut found = vec![LifeFinding::Over(id.clone(), LifeEnd::Restarted)];
+        let mut found = vec![WorkerEvent::Over(id.clone(), InstanceEnd::Restarted)];
         for (task, run) in other {
-            if run.is_of_one_life() {
-                found.push(LifeFinding::Lost(id.clone(), LostRun::new(task, run, answered)));
+            if run.is_of_one_instance() {
+                found.push(WorkerEvent::Lost(id.clone(), LostRun::new(task, run, answered)));
                 continue;
             }
-            found.push(LifeFinding::InDoubt(id.clone(), task.clone(), run.run));
-            life.add_run(task, run.in_doubt(now));
+            found.push(WorkerEvent::InDoubt(id.clone(), task.clone(), run.run));
+            instance.add_run(task, run.in_doubt(now));
         }
-        found.extend(crash.map(LifeFinding::Crashed));
+        found.extend(crash.map(WorkerEvent::Crashed));
         found
     }
 }
--- a/src/graph/job.rs
+++ b/src/graph/job.rs
@@ -83,11 +83,11 @@
     /// Last start of tasks that has surely not been carried out; the store may have it as one that may crash its worker.
     pub withdrawn: BTreeMap<TaskKey, RunNumber>,
     /// Verdict that the store has.
-    pub shown: Option<GraphVerdict>,
+    pub stored_verdict: Option<GraphVerdict>,
     /// Whether the store has the job.
     pub durable: bool,
     /// When its caller is told that it was not taken, unless the store has it by then.
-    pub give_up: Instant,
+    pub submit_deadline: Instant,
     /// Whether it is from before this leader's time.
     pub inherited: bool,
     /// When it was submitted.
@@ -97,17 +97,17 @@
     /// Highest run of each task so far.
     pub last_run: BTreeMap<TaskKey, RunNumber>,
     /// Workers on which a task failed.
-    pub avoid: BTreeMap<TaskKey, BTreeSet<WorkerId>>,
+    pub avoided_workers: BTreeMap<TaskKey, BTreeSet<WorkerId>>,
     /// When a task may be started again.
     pub not_before: BTreeMap<TaskKey, Instant>,
     /// Longest chains to the end of the graph, a step.
-    pub chains: Vec<Duration>,
+    pub critical_paths: Vec<Duration>,
 }
 
 impl GraphJob {
     /// A job that the store does not have yet.
     pub fn new(record: GraphRecord, now: Instant) -> Self {
-        let chains = record.spec.remaining_chains();
+        let critical_paths = record.spec.remaining_critical_paths();
         Self {
             spec: Arc::new(record.spec),
             rule: Arc::new(record.rule),
@@ -120,16 +120,16 @@
             stored_announced: BTreeMap::new(),
             inherited_starts: BTreeSet::new(),
             withdrawn: BTreeMap::new(),
-            shown: None,
+            stored_verdict: None,
             durable: false,
-            give_up: now,
+            submit_deadline: now,
             inherited: false,
             begun: now,
             live: BTreeMap::new(),
             last_run: BTreeMap::new(),
-            avoid: BTreeMap::new(),
+            avoided_workers: BTreeMap::new(),
             not_before: BTreeMap::new(),
-            chains,
+            critical_paths,
         }
     }
 
@@ -143,7 +143,7 @@
         let mut job = Self::new(record, now.checked_sub(age).unwrap_or(now));
         job.durable = true;
         job.inherited = true;
-        job.shown = progress.verdict;
+        job.stored_verdict = progress.verdict;
         job.stored_domains = progress.domains.clone();
         job.stored_floors = progress.floors.clone();
         job.stored_announced = progress.announced.clone();
@@ -170,7 +170,7 @@
     /// outlived its only record where a worker and the leader were lost in one outage of the store: 13 to
     /// 64 tasks of such days ran again.
     pub fn state(&self) -> GraphState {
-        match self.shown {
+        match self.stored_verdict {
             Some(GraphVerdict::Completed) => GraphState::Completed,
             Some(GraphVerdict::Failed) => GraphState::Failed,
             Some(GraphVerdict::Cancelled) => GraphState::Cancelled,
@@ -200,7 +200,7 @@
     }
 
     /// Whether the steps that a step waits for have succeeded.
-    pub fn turn_has_come(&self, key: StepKey) -> bool {
+    pub fn dependencies_done(&self, key: StepKey) -> bool {
         let Some(step) = self.step(key) else {
             return false;
         };
@@ -266,8 +266,8 @@
 
     /// Whether the store has to have the next start of a task before it goes out: it may crash its worker, or an earlier one
     /// may have. `lost_unheard` tells whether workers from before this leader's time were lost before they were heard.
-    pub(crate) fn needs_announcement(&self, task: TaskKey, lost_unheard: bool) -> bool {
-        let unheard = lost_unheard && self.inherited && !self.last_run.contains_key(&task);
+    pub(crate) fn needs_announcement(&self, task: TaskKey, lost_before_contact: bool) -> bool {
+        let unheard = lost_before_contact && self.inherited && !self.last_run.contains_key(&task);
         let announced = self.progress.announced.contains_key(&task);
         match self.inherited_starts.contains(&task) {
             true => true,
@@ -277,7 +277,7 @@
 
     /// Time from hand-in within which its worth is whole.
     pub fn objective(&self) -> Duration {
-        let chain = self.chains.iter().max().copied().unwrap_or_default();
+        let chain = self.critical_paths.iter().max().copied().unwrap_or_default();
         chain.mul_f64(self.rule.slack) + self.rule.target
     }
 
--- a/src/graph/jobs.rs
+++ b/src/graph/jobs.rs
@@ -9,13 +9,13 @@
 use tokio::time::Instant;
 
 use crate::graph::begin_evidence::BeginEvidence;
-use crate::graph::crash::{BLURRED_LIMIT, RunTrial};
+use crate::graph::crash::{MULTI_CAUSE_CRASH_LIMIT, SuspectRun};
 use crate::graph::exchange::{EndKind, EndReport};
 use crate::graph::job::{GraphJob, GraphState, LiveRun};
 use crate::graph::jobs::crashes::{delay_start, give_up_crashing};
-use crate::graph::life_finding::LostRun;
 use crate::graph::name::{GraphId, RunNumber, StepKey, TaskKey, TaskName};
 use crate::graph::progress::GraphVerdict;
+use crate::graph::worker_event::LostRun;
 use crate::id::{UnixMillis, WorkerId};
 
 /// Pause before a lasting task that ended is started again, so that one which fails at once does not
@@ -141,20 +141,20 @@
         now: Instant,
         unix: UnixMillis,
         lost: &LostRun,
-        trial: Option<RunTrial>,
+        suspect_run: Option<SuspectRun>,
     ) -> JobEffect {
         let LostRun { task, run, saved, begun, .. } = lost;
         let (run, begun) = (*run, *begun);
         let mut effect = self.lost(task, run, saved);
         if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.over()) {
-            if let Some(trial) = trial {
-                job.progress.note_trial(task.key, trial);
+            if let Some(suspect_run) = suspect_run {
+                job.progress.note_suspect_run(task.key, suspect_run);
                 if begun {
                     job.progress.confirm_run(task.key, run);
                 }
                 effect.changed = true;
                 delay_start(job, task, run, now);
-                give_up_crashing(job, task, BLURRED_LIMIT, unix, &mut effect);
+                give_up_crashing(job, task, MULTI_CAUSE_CRASH_LIMIT, unix, &mut effect);
             }
             let lasting = job.step(task.key.step).is_some_and(|step| step.lasting);
             if !lasting && job.progress.raise_floor(task.key, run + 1) {
@@ -166,7 +166,7 @@
 
     /// Runs of earlier leaders may have gone on or ended unseen: those of tasks that this one knows nothing of
     /// count no more. Tells the jobs for which that is new.
-    pub(crate) fn void_unseen(
+    pub(crate) fn invalidate_unseen_runs(
         &mut self,
         first: RunNumber,
         held: impl Fn(&GraphJob) -> bool,
@@ -213,7 +213,7 @@
         if job.over() || job.progress.is_done(&task.key) {
             return effect;
         }
-        let doubted = job.progress.clear_trial(&task.key, run);
+        let doubted = job.progress.clear_suspect_run(&task.key, run);
         self.open.insert(task.job.clone());
         match kind {
             EndKind::Done if !step.lasting => {
@@ -227,7 +227,7 @@
             }
             EndKind::Done | EndKind::Failed if step.lasting => {
                 if kind == EndKind::Failed {
-                    job.avoid.entry(task.key).or_default().insert(worker.clone());
+                    job.avoided_workers.entry(task.key).or_default().insert(worker.clone());
                 }
                 effect.changed = job.progress.clear_crashes(&task.key);
                 job.not_before.insert(task.key, now + LASTING_PAUSE);
@@ -236,7 +236,7 @@
             EndKind::Failed => {
                 job.progress.failures.entry(task.key).or_default().insert(run);
                 job.progress.clear_crashes(&task.key);
-                job.avoid.entry(task.key).or_default().insert(worker.clone());
+                job.avoided_workers.entry(task.key).or_default().insert(worker.clone());
                 job.not_before.insert(task.key, now + RETRY_PAUSE);
                 effect.changed = true;
                 effect.stops = rest_of_gang(job, task.key, run);
@@ -299,7 +299,7 @@
     /// Jobs that ended before a moment and hold no run any more.
     pub(crate) fn ended_before(&self, moment: UnixMillis) -> Vec<GraphId> {
         let old = |job: &&GraphJob| {
-            job.shown.is_some()
+            job.stored_verdict.is_some()
                 && job.live.is_empty()
                 && job.progress.ended.is_some_and(|at| at < moment)
         };
--- a/src/graph/jobs/crashes.rs
+++ b/src/graph/jobs/crashes.rs
@@ -6,7 +6,8 @@
 use tokio::time::Instant;
 
 use crate::graph::crash::{
-    BLURRED_LIMIT, COMMON_LIMIT, CrashCount, CrashSuspect, RunTrial, pause_after,
+    CORRELATED_CRASH_LIMIT, CrashCount, CrashSuspect, MULTI_CAUSE_CRASH_LIMIT, SuspectRun,
+    pause_after,
 };
 use crate::graph::job::GraphJob;
 use crate::graph::jobs::{JobEffect, JobTable, all_runs, end_job};
@@ -39,8 +40,8 @@
         effect.changed = true;
         let limit = match job.progress.is_confirmed(&task.key, *run) {
             _ if *sure => limit,
-            true => limit.max(BLURRED_LIMIT),
-            false => limit.max(COMMON_LIMIT),
+            true => limit.max(MULTI_CAUSE_CRASH_LIMIT),
+            false => limit.max(CORRELATED_CRASH_LIMIT),
         };
         give_up_crashing(job, task, limit, unix, &mut effect);
         effect
@@ -50,7 +51,7 @@
     ///
     /// What an earlier leader had announced may have gone out to a worker that was lost before it was heard; a worker that was
     /// heard would have told of it.
-    pub(crate) fn announce(&mut self, task: &TaskName, base: RunNumber, lost_unheard: bool) {
+    pub(crate) fn announce(&mut self, task: &TaskName, base: RunNumber, lost_before_contact: bool) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -58,11 +59,11 @@
             && let Some(run) = job.progress.announced.remove(&task.key)
         {
             let heard = job.last_run.get(&task.key).is_some_and(|last| *last >= run);
-            if lost_unheard && !heard {
+            if lost_before_contact && !heard {
                 job.progress.note_crash(task.key, run, false);
             }
         }
-        if job.needs_announcement(task.key, lost_unheard) {
+        if job.needs_announcement(task.key, lost_before_contact) {
             let run = job.next_run(&task.key, base);
             job.progress.announced.insert(task.key, run);
             info!(task:% = task, run; "a start that may crash its worker is announced");
@@ -70,7 +71,7 @@
     }
 
     /// Whether the start of a task was announced; it is used up with that.
-    pub(crate) fn take_announced(&mut self, task: &TaskName) -> bool {
+    pub(crate) fn consume_announcement(&mut self, task: &TaskName) -> bool {
         let job = self.jobs.get_mut(&task.job);
         job.is_some_and(|job| job.progress.announced.remove(&task.key).is_some())
     }
@@ -89,12 +90,12 @@
     }
 
     /// A suspected task is started.
-    pub(crate) fn note_trial(&mut self, task: &TaskName, trial: RunTrial) {
+    pub(crate) fn note_suspect_run(&mut self, task: &TaskName, suspect_run: SuspectRun) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             if let Some(run) = job.withdrawn.remove(&task.key) {
-                job.progress.clear_trial(&task.key, run);
+                job.progress.clear_suspect_run(&task.key, run);
             }
-            job.progress.note_trial(task.key, trial);
+            job.progress.note_suspect_run(task.key, suspect_run);
         }
     }
 
@@ -108,9 +109,9 @@
 
     /// A run is gone from its worker, or from one that has been replaced: where that has crashed, the crash is noted in place
     /// of the trial.
-    pub(crate) fn clear_trial(&mut self, task: &TaskName, run: RunNumber) -> bool {
+    pub(crate) fn clear_suspect_run(&mut self, task: &TaskName, run: RunNumber) -> bool {
         let job = self.jobs.get_mut(&task.job).filter(|job| !job.over());
-        job.is_some_and(|job| job.progress.clear_trial(&task.key, run))
+        job.is_some_and(|job| job.progress.clear_suspect_run(&task.key, run))
     }
 
     /// A worker has reported a run as begun. Tells whether that is new of one that a worker may crash, or has crashed, under.
@@ -120,7 +121,7 @@
     }
 
     /// A worker has outlived the start of a task: earlier crashes were not its fault.
-    pub(crate) fn outlived(&mut self, task: &TaskName) -> JobEffect {
+    pub(crate) fn survived(&mut self, task: &TaskName) -> JobEffect {
         let mut effect = JobEffect::default();
         if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.over()) {
             effect.changed = job.progress.clear_crashes(&task.key);
@@ -144,7 +145,8 @@
         let goes_on = job.live.get(&task).is_some_and(|live| live.run == run);
         goes_on || job.withdrawn.get(&task) == Some(&run)
     };
-    let trials = progress.trials.get(&task).into_iter().flatten().map(|trial| trial.run);
+    let trials =
+        progress.trials.get(&task).into_iter().flatten().map(|suspect_run| suspect_run.run);
     for run in trials.filter(|run| !known(*run)) {
         count.begun += usize::from(progress.is_confirmed(&task, run));
         count.all += 1;
--- a/src/graph/placer.rs
+++ b/src/graph/placer.rs
@@ -5,28 +5,28 @@
 //! all of its worth up to its objective, a part of it up to three times that, nothing later. What is past that comes
 //! after everything else.
 
+mod advice_requests;
 mod gangs;
-mod room;
 mod tasks;
-mod wishes;
+mod worker_capacity;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use crate::graph::advice::{AdviceDesk, AdviceWish};
+use crate::graph::advice::{AdviceRequest, AdviceTable};
 use crate::graph::health::HealthRank;
 use crate::graph::home::UnsettledDomains;
+use crate::graph::instances::{InstanceTable, SILENCE_LIMIT};
 use crate::graph::job::GraphJob;
 use crate::graph::jobs::JobTable;
-use crate::graph::lives::{LifeTable, SILENCE};
 use crate::graph::name::{GraphId, StepKey, TaskKey, TaskName};
-use crate::graph::placer::room::PassRoom;
-use crate::graph::preemption::{PlannedPreemption, RoomKeeper};
-use crate::graph::room::StepRoom;
+use crate::graph::placer::worker_capacity::WorkerCapacity;
+use crate::graph::preemption::{PlannedPreemption, ReservationTable};
 use crate::graph::spec::StepSpec;
-use crate::graph::worker::{RunPhase, WorkerLife};
+use crate::graph::step_capacity::StepCapacity;
+use crate::graph::worker::{RunPhase, WorkerInstance};
 use crate::id::{DomainId, UnixMillis, WorkerId};
 
 /// Wishes for each entry that could make a call: long calls leave entries to the short ones behind.
@@ -64,7 +64,7 @@
     /// Tasks for which less urgent runs are stopped.
     pub preemptions: Vec<PlannedPreemption>,
     /// Advice to ask for, most urgent first.
-    pub wishes: Vec<AdviceWish>,
+    pub advice_requests: Vec<AdviceRequest>,
     /// Jobs that should use another failure domain as well.
     pub widened: Vec<(GraphId, DomainId)>,
     /// Jobs none of whose tasks waits.
@@ -74,7 +74,7 @@
 /// Order in which steps are served.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct ServingOrder {
-    hopeless: bool,
+    cannot_fit: bool,
     priority: u32,
     latest_start: Instant,
     late: bool,
@@ -102,49 +102,50 @@
     /// All jobs.
     pub jobs: &'t JobTable,
     /// All workers.
-    pub lives: &'t LifeTable,
+    pub instances: &'t InstanceTable,
     /// All placement advice.
-    pub advice: &'t AdviceDesk,
+    pub advice: &'t AdviceTable,
     /// Room that is kept for tasks.
-    pub keeper: &'t RoomKeeper,
+    pub keeper: &'t ReservationTable,
     /// Starts that may be without an answer, but for one more gang.
     pub unanswered: usize,
     /// Whether workers from before this leader's time were lost before they were heard.
-    pub lost_unheard: bool,
+    pub lost_before_contact: bool,
 }
 
 /// One pass.
 pub struct PlacementPass<'t> {
     view: PassView<'t>,
     /// Calls for advice that could be made now; more wishes would be in vain.
-    wishes_left: usize,
+    requests_left: usize,
     /// Starts that may be planned.
     starts_left: usize,
     /// Runs that were chosen to be stopped in this pass.
     victims: BTreeSet<TaskName>,
-    rooms: BTreeMap<WorkerId, PassRoom<'t>>,
+    rooms: BTreeMap<WorkerId, WorkerCapacity<'t>>,
     plan: PassPlan,
     /// Wishes of steps that can place nothing now. They come last: before the others, those of twelve steps
     /// kept a small step with room everywhere from ever being asked for.
-    renewals: Vec<AdviceWish>,
+    renewals: Vec<AdviceRequest>,
 }
 
 impl<'t> PlacementPass<'t> {
     /// Prepares a pass.
     pub fn new(view: PassView<'t>) -> Self {
-        let open = view.lives.iter().filter(|life| life.open(view.now, SILENCE));
-        let room = |life: &'t WorkerLife| {
-            let free = life.free().saturating_sub(&view.keeper.on(life.id()));
-            let crashed = view.lives.crashed_lately(view.now, life);
-            (life.id().clone(), PassRoom::new(life, free, crashed, view.now))
+        let open =
+            view.instances.iter().filter(|instance| instance.accepts_work(view.now, SILENCE_LIMIT));
+        let room = |instance: &'t WorkerInstance| {
+            let free = instance.free().saturating_sub(&view.keeper.on(instance.id()));
+            let crashed = view.instances.crashed_lately(view.now, instance);
+            (instance.id().clone(), WorkerCapacity::new(instance, free, crashed, view.now))
         };
-        let mut rooms: BTreeMap<WorkerId, PassRoom<'t>> = open.map(room).collect();
+        let mut rooms: BTreeMap<WorkerId, WorkerCapacity<'t>> = open.map(room).collect();
         leave_out_faulty(&mut rooms);
-        let wishes_left = view.advice.idle() * WISHES_A_CALL;
+        let requests_left = view.advice.idle() * WISHES_A_CALL;
         let starts_left = view.unanswered.saturating_sub(unanswered(&rooms));
         Self {
             view,
-            wishes_left,
+            requests_left,
             starts_left,
             victims: BTreeSet::new(),
             rooms,
@@ -169,7 +170,7 @@
         for step in steps {
             self.serve(&step);
         }
-        self.plan.wishes.extend(self.renewals);
+        self.plan.advice_requests.extend(self.renewals);
         self.plan
     }
 
@@ -189,7 +190,7 @@
                 if waiting.is_empty() {
                     continue;
                 }
-                let ready = job.durable && job.turn_has_come(key);
+                let ready = job.durable && job.dependencies_done(key);
                 if ready {
                     let may = |task: &TaskKey| {
                         job.not_before.get(task).is_none_or(|start| *start <= self.view.now)
@@ -213,15 +214,15 @@
             Some(due) => Duration::from_millis(self.view.unix.saturating_sub(due)),
             None => self.view.now.saturating_duration_since(job.begun),
         };
-        let chain = job.chains.get(key.step as usize).copied().unwrap_or_default();
+        let chain = job.critical_paths.get(key.step as usize).copied().unwrap_or_default();
         let objective = job.objective();
         let late = !step.lasting && passed + chain > objective;
-        let hopeless = !step.lasting && passed + chain > objective * WORTHLESS_AFTER;
+        let cannot_fit = !step.lasting && passed + chain > objective * WORTHLESS_AFTER;
         // Served after all that are in time, a backlog would wait until load falls and lose what it still can earn.
         let loses_at = if late { objective * WORTHLESS_AFTER } else { objective };
         let latest =
             (self.view.now + loses_at).checked_sub(passed + chain).unwrap_or(self.view.now);
-        ServingOrder { hopeless, priority: job.rule.priority, latest_start: latest, late }
+        ServingOrder { cannot_fit, priority: job.rule.priority, latest_start: latest, late }
     }
 
     fn serve(&mut self, step: &OpenStep<'t>) {
@@ -241,26 +242,26 @@
             self.plan.widened.push((step.job.spec.id.clone(), domain));
         }
         if missing > 0 && (step.ready || self.comes_soon(step)) {
-            self.wish(step, missing);
+            self.request_advice(step, missing);
         }
     }
 
     /// Whether the store has to have the start of a task before it goes out.
     fn needs_announcement(&self, step: &OpenStep<'t>, task: TaskKey) -> bool {
-        step.job.needs_announcement(task, self.view.lost_unheard)
+        step.job.needs_announcement(task, self.view.lost_before_contact)
     }
 
     /// Workers that the step may use now.
     fn candidates(&self, step: &OpenStep<'t>) -> Vec<WorkerId> {
         let rule = &step.job.rule;
-        let fits = |room: &&PassRoom<'t>| {
-            room.life.listing.service == rule.service
-                && step.job.may_use(&room.life.listing.domain)
-                && room.life.has_label(step.step)
+        let fits = |room: &&WorkerCapacity<'t>| {
+            room.instance.registration.service == rule.service
+                && step.job.may_use(&room.instance.registration.domain)
+                && room.instance.has_label(step.step)
         };
         if rule.advice.is_none() {
             let fitting = self.rooms.values().filter(fits);
-            return fitting.map(|room| room.life.id().clone()).collect();
+            return fitting.map(|room| room.instance.id().clone()).collect();
         }
         let key = (step.job.spec.id.clone(), step.key);
         let Some(advice) = self.view.advice.step(&key) else {
@@ -268,7 +269,7 @@
         };
         let allowed = advice.tickets(self.view.now);
         let rooms = allowed.filter_map(|worker| self.rooms.get(worker)).filter(fits);
-        rooms.map(|room| room.life.id().clone()).collect()
+        rooms.map(|room| room.instance.id().clone()).collect()
     }
 
     /// The failure domain with most room among those that a job may not use yet, where those that it may
@@ -280,18 +281,18 @@
         }
         let key = (job.spec.id.clone(), step.key);
         let known = self.view.advice.step(&key);
-        let step_room = self.step_room(step);
+        let step_capacity = self.step_capacity(step);
         let mut here = 0;
         let mut elsewhere: BTreeMap<&DomainId, usize> = BTreeMap::new();
         for room in self.rooms.values() {
-            let (id, listing) = (room.life.id(), &room.life.listing);
-            let usable = listing.service == job.rule.service
-                && room.life.has_label(step.step)
+            let (id, registration) = (room.instance.id(), &room.instance.registration);
+            let usable = registration.service == job.rule.service
+                && room.instance.has_label(step.step)
                 && !known.is_some_and(|known| known.denied.contains(id));
-            let holds = step_room.holds(id, &room.free);
+            let holds = step_capacity.holds(id, &room.free);
             match usable {
-                true if job.may_use(&listing.domain) => here += holds,
-                true => *elsewhere.entry(&listing.domain).or_default() += holds,
+                true if job.may_use(&registration.domain) => here += holds,
+                true => *elsewhere.entry(&registration.domain).or_default() += holds,
                 false => {}
             }
         }
@@ -302,8 +303,8 @@
     }
 
     /// What the step may still place on workers.
-    fn step_room(&self, step: &OpenStep<'t>) -> StepRoom {
-        StepRoom::new(step.step, self.counts(step, self.rooms.keys()))
+    fn step_capacity(&self, step: &OpenStep<'t>) -> StepCapacity {
+        StepCapacity::new(step.step, self.counts(step, self.rooms.keys()))
     }
 
     /// Tasks of the step that hold room, have room kept or were given room in this pass, by worker;
@@ -320,7 +321,7 @@
         let count = |worker: &WorkerId| {
             let room = self.rooms.get(worker)?;
             let kept = self.view.keeper.count(worker, id, step.key);
-            Some((worker.clone(), room.life.count_of(id, step.key) + kept))
+            Some((worker.clone(), room.instance.count_of(id, step.key) + kept))
         };
         let mut counts: BTreeMap<WorkerId, u32> = among.filter_map(count).collect();
         // Room that was kept for a task is counted already.
@@ -341,8 +342,8 @@
 }
 
 /// Leaves out workers that are at fault, unless there are so many that the fault is not theirs.
-fn leave_out_faulty(rooms: &mut BTreeMap<WorkerId, PassRoom<'_>>) {
-    let faulty = |room: &PassRoom<'_>| room.health == HealthRank::Faulty;
+fn leave_out_faulty(rooms: &mut BTreeMap<WorkerId, WorkerCapacity<'_>>) {
+    let faulty = |room: &WorkerCapacity<'_>| room.health == HealthRank::Faulty;
     let count = rooms.values().filter(|room| faulty(room)).count();
     if count * FAULTY_SHARE <= rooms.len() {
         rooms.retain(|_, room| !faulty(room));
@@ -351,7 +352,7 @@
 
 /// Starts that workers have not answered. Those that are given no work do not count: many may have been
 /// cut off at once, and work must not wait for that.
-fn unanswered(rooms: &BTreeMap<WorkerId, PassRoom<'_>>) -> usize {
-    let runs = rooms.values().flat_map(|room| room.life.runs.values());
+fn unanswered(rooms: &BTreeMap<WorkerId, WorkerCapacity<'_>>) -> usize {
+    let runs = rooms.values().flat_map(|room| room.instance.runs.values());
     runs.filter(|run| matches!(run.phase, RunPhase::Sent { .. })).count()
 }
--- a/src/graph/placer/wishes.rs
+++ b/src/graph/placer/advice_requests.rs
@@ -3,10 +3,10 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-use crate::graph::advice::{AdviceWish, MOST_ASKED};
+use crate::graph::advice::{AdviceRequest, MOST_ASKED};
 use crate::graph::job::GraphJob;
 use crate::graph::name::{StepKey, TaskKey};
-use crate::graph::placer::room::PassRoom;
+use crate::graph::placer::worker_capacity::WorkerCapacity;
 use crate::graph::placer::{OpenStep, PlacementPass};
 use crate::graph::queue::AdviceRule;
 use crate::id::WorkerId;
@@ -46,10 +46,9 @@
             .range(TaskKey { step: key, index: 0 }..=TaskKey { step: key, index: u32::MAX });
         let mut running = 0;
         for (task, run) in live {
-            let since = self
-                .rooms
-                .get(&run.worker)
-                .and_then(|room| room.life.runs.get(&job.task_name(*task)).map(|run| run.since));
+            let since = self.rooms.get(&run.worker).and_then(|room| {
+                room.instance.runs.get(&job.task_name(*task)).map(|run| run.since)
+            });
             let Some(since) = since else {
                 return false;
             };
@@ -66,12 +65,12 @@
     ///
     /// A step with tickets takes room as it comes free, and one call keeps them all for its whole
     /// time; asking only once there is room was tried, and the room was gone when the answer came.
-    pub(super) fn wish(&mut self, step: &OpenStep<'t>, missing: usize) {
+    pub(super) fn request_advice(&mut self, step: &OpenStep<'t>, missing: usize) {
         let Some(rule) = step.job.rule.advice else {
             return;
         };
         let key = (step.job.spec.id.clone(), step.key);
-        let enough = self.plan.wishes.len() >= self.wishes_left;
+        let enough = self.plan.advice_requests.len() >= self.requests_left;
         if enough || !self.view.advice.may_ask(&key, self.view.now) {
             return;
         }
@@ -80,10 +79,10 @@
             return;
         }
         let queue = step.job.rule.id.clone();
-        let wish = AdviceWish { key, queue, rule, workers };
+        let request = AdviceRequest { key, queue, rule, workers };
         match useful {
-            true => self.plan.wishes.push(wish),
-            false => self.renewals.push(wish),
+            true => self.plan.advice_requests.push(request),
+            false => self.renewals.push(request),
         }
     }
 
@@ -96,18 +95,18 @@
         missing: usize,
     ) -> NamedWorkers {
         let first = self.knows_nothing(step);
-        let mut rooms = self.advice_rooms(step, rule);
+        let mut rooms = self.advice_candidates(step, rule);
         if !first && rooms.are_full() {
-            self.note_room_to_make(step, &mut rooms);
+            self.note_preemptable_capacity(step, &mut rooms);
         }
-        let AdviceRooms { ready, renewed, mut unknown } = rooms;
+        let AdviceCandidates { ready, renewed, mut unknown } = rooms;
         let looks_on = ready < missing && unknown.iter().any(|asked| asked.holds > 0);
-        let far = |asked: &AskedRoom<'_, 't>| {
-            step.step.affinity.as_ref().is_some_and(|rack| rack != asked.room.life.rack())
+        let far = |asked: &AskedWorker<'_, 't>| {
+            step.step.affinity.as_ref().is_some_and(|rack| rack != asked.room.instance.rack())
         };
-        let disturbs = |asked: &AskedRoom<'_, 't>| {
-            (step.step.best_effort && asked.room.serves)
-                || (step.step.target.is_some() && asked.room.fills)
+        let disturbs = |asked: &AskedWorker<'_, 't>| {
+            (step.step.best_effort && asked.room.runs_latency_bound)
+                || (step.step.target.is_some() && asked.room.runs_best_effort)
         };
         let (mut usable, full): (Vec<_>, Vec<_>) =
             renewed.into_iter().partition(|asked| asked.holds > 0);
@@ -120,7 +119,7 @@
         });
         let share = self.view.advice.share(&step.job.rule.id);
         let cheap = worth_asking(rule);
-        let mut workers: Vec<WorkerId> = usable.iter().map(AskedRoom::worker).collect();
+        let mut workers: Vec<WorkerId> = usable.iter().map(AskedWorker::worker).collect();
         workers.truncate(MOST_ASKED);
         let mut expected = ready as f64;
         for asked in unknown.iter().filter(|_| first || looks_on) {
@@ -133,33 +132,37 @@
         }
         // Named first, workers that the step has filled took up each call: 96 of 130 tasks ran for good.
         let left = MOST_ASKED - workers.len();
-        workers.extend(full.iter().take(left).map(AskedRoom::worker));
+        workers.extend(full.iter().take(left).map(AskedWorker::worker));
         NamedWorkers { workers, useful }
     }
 
     /// Workers that a step might use, by what is known of them.
-    fn advice_rooms(&self, step: &OpenStep<'t>, rule: &AdviceRule) -> AdviceRooms<'_, 't> {
+    fn advice_candidates(
+        &self,
+        step: &OpenStep<'t>,
+        rule: &AdviceRule,
+    ) -> AdviceCandidates<'_, 't> {
         let known = self.view.advice.step(&(step.job.spec.id.clone(), step.key));
         let need = step.step.reservation();
-        let step_room = self.step_room(step);
+        let step_capacity = self.step_capacity(step);
         let fitting = self.rooms.values().filter(|room| {
-            room.life.listing.service == step.job.rule.service
-                && step.job.may_use(&room.life.listing.domain)
-                && room.life.has_label(step.step)
-                && need.fits(&room.life.listing.capacity)
-                && step_room.allows(room.life.id()) > 0
-                && !known.is_some_and(|known| known.denied.contains(room.life.id()))
+            room.instance.registration.service == step.job.rule.service
+                && step.job.may_use(&room.instance.registration.domain)
+                && room.instance.has_label(step.step)
+                && need.fits(&room.instance.registration.capacity)
+                && step_capacity.allows(room.instance.id()) > 0
+                && !known.is_some_and(|known| known.denied.contains(room.instance.id()))
         });
         let renewal = self.view.now + rule.call + rule.each * RENEWED_WORKERS;
-        let mut rooms = AdviceRooms::default();
+        let mut rooms = AdviceCandidates::default();
         for room in fitting {
-            let free = step_room.holds(room.life.id(), &room.free);
-            match known.filter(|known| known.allowed.contains_key(room.life.id())) {
-                Some(known) if known.ticket(room.life.id(), renewal).is_some() => {
+            let free = step_capacity.holds(room.instance.id(), &room.free);
+            match known.filter(|known| known.allowed.contains_key(room.instance.id())) {
+                Some(known) if known.ticket(room.instance.id(), renewal).is_some() => {
                     rooms.ready += free;
                 }
-                Some(_) => rooms.renewed.push(AskedRoom { room, holds: free }),
-                None => rooms.unknown.push(AskedRoom { room, holds: free }),
+                Some(_) => rooms.renewed.push(AskedWorker { room, holds: free }),
+                None => rooms.unknown.push(AskedWorker { room, holds: free }),
             }
         }
         rooms
@@ -168,9 +171,9 @@
     /// In a full service room counts that can be made: a step that asked about workers with free room only
     /// had 16 of 40 lasting tasks run. One call's names are enough: looked for on all of 350 workers in each
     /// wish, it had the leader's machine too slow to lead.
-    fn note_room_to_make(&self, step: &OpenStep<'t>, rooms: &mut AdviceRooms<'_, 't>) {
+    fn note_preemptable_capacity(&self, step: &OpenStep<'t>, rooms: &mut AdviceCandidates<'_, 't>) {
         let asked = rooms.renewed.iter_mut().chain(&mut rooms.unknown);
-        let makeable = asked.filter(|asked| self.can_make_room(step, asked.room));
+        let makeable = asked.filter(|asked| self.can_preempt(step, asked.room));
         makeable.take(MOST_ASKED).for_each(|asked| asked.holds = 1);
     }
 
@@ -181,15 +184,15 @@
 }
 
 /// A worker that a call may name.
-struct AskedRoom<'p, 't> {
-    room: &'p PassRoom<'t>,
+struct AskedWorker<'p, 't> {
+    room: &'p WorkerCapacity<'t>,
     /// Tasks of the step that it could be given now.
     holds: usize,
 }
 
-impl AskedRoom<'_, '_> {
+impl AskedWorker<'_, '_> {
     fn worker(&self) -> WorkerId {
-        self.room.life.id().clone()
+        self.room.instance.id().clone()
     }
 }
 
@@ -202,16 +205,16 @@
 
 /// Workers that a step might use.
 #[derive(Default)]
-struct AdviceRooms<'p, 't> {
+struct AdviceCandidates<'p, 't> {
     /// Tasks that those with tickets hold.
     ready: usize,
     /// Those whose tickets run out.
-    renewed: Vec<AskedRoom<'p, 't>>,
+    renewed: Vec<AskedWorker<'p, 't>>,
     /// Those that nobody has asked about.
-    unknown: Vec<AskedRoom<'p, 't>>,
+    unknown: Vec<AskedWorker<'p, 't>>,
 }
 
-impl AdviceRooms<'_, '_> {
+impl AdviceCandidates<'_, '_> {
     /// Whether none of them has room.
     fn are_full(&self) -> bool {
         let mut named = self.renewed.iter().chain(&self.unknown);
--- a/src/graph/placer/gangs.rs
+++ b/src/graph/placer/gangs.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use crate::graph::placer::room::PassRoom;
+use crate::graph::placer::worker_capacity::WorkerCapacity;
 use crate::graph::placer::{OpenStep, PlacementPass, PlannedStart};
-use crate::graph::room::room_for;
+use crate::graph::step_capacity::tasks_that_fit;
 use crate::id::{RackId, WorkerId};
 
 impl<'t> PlacementPass<'t> {
@@ -21,7 +21,7 @@
             let mut racks: BTreeMap<&RackId, Vec<WorkerId>> = BTreeMap::new();
             for id in candidates {
                 if let Some(room) = self.rooms.get(id) {
-                    racks.entry(room.life.rack()).or_default().push(id.clone());
+                    racks.entry(room.instance.rack()).or_default().push(id.clone());
                 }
             }
             sets.extend(racks.into_values());
@@ -61,14 +61,15 @@
         let known = self.view.advice.step(&(step.job.spec.id.clone(), step.key));
         let mut racks: BTreeMap<&RackId, u32> = BTreeMap::new();
         for room in self.rooms.values() {
-            let listing = &room.life.listing;
-            let usable = listing.service == rule.service
-                && step.job.may_use(&listing.domain)
-                && room.life.has_label(step.step)
-                && !known.is_some_and(|known| known.denied.contains(&listing.id));
+            let registration = &room.instance.registration;
+            let usable = registration.service == rule.service
+                && step.job.may_use(&registration.domain)
+                && room.instance.has_label(step.step)
+                && !known.is_some_and(|known| known.denied.contains(&registration.id));
             if usable {
-                let held = racks.entry(&listing.rack).or_default();
-                *held = held.saturating_add(room_for(&listing.capacity, &need).min(most));
+                let held = racks.entry(&registration.rack).or_default();
+                *held =
+                    held.saturating_add(tasks_that_fit(&registration.capacity, &need).min(most));
             }
         }
         racks.values().any(|held| *held >= step.step.count)
@@ -81,7 +82,7 @@
     ) -> Option<Vec<PlannedStart>> {
         let mut counts = self.counts(step, set.iter());
         let mut starts = Vec::new();
-        let saved: Vec<(WorkerId, PassRoom<'t>)> = set
+        let saved: Vec<(WorkerId, WorkerCapacity<'t>)> = set
             .iter()
             .filter_map(|id| self.rooms.get(id).map(|room| (id.clone(), room.clone())))
             .collect();
--- a/src/graph/placer/tasks.rs
+++ b/src/graph/placer/tasks.rs
@@ -5,7 +5,7 @@
 
 use crate::graph::health::HealthRank;
 use crate::graph::name::TaskKey;
-use crate::graph::placer::room::PassRoom;
+use crate::graph::placer::worker_capacity::WorkerCapacity;
 use crate::graph::placer::{OpenStep, PlacementPass, PlannedStart};
 use crate::graph::preemption::{PlannedPreemption, victims};
 use crate::graph::spec::StepSpec;
@@ -99,14 +99,14 @@
     /// Whether waiting any longer would cost a step what its job can still earn.
     pub(super) fn presses(&self, step: &OpenStep<'t>) -> bool {
         let pressed = step.order.latest_start <= self.view.now + PREEMPTION_LEAD;
-        pressed && (step.step.lasting || !step.order.hopeless)
+        pressed && (step.step.lasting || !step.order.cannot_fit)
     }
 
     /// Whether room for a task of a step can be made on a worker.
-    pub(super) fn can_make_room(&self, step: &OpenStep<'t>, room: &PassRoom<'t>) -> bool {
+    pub(super) fn can_preempt(&self, step: &OpenStep<'t>, room: &WorkerCapacity<'t>) -> bool {
         let (need, priority) = (step.step.reservation(), step.job.rule.priority);
         self.presses(step)
-            && victims(room.life, self.view.now, &room.free, &need, priority, worth(step.step))
+            && victims(room.instance, self.view.now, &room.free, &need, priority, worth(step.step))
                 .is_some()
     }
 
@@ -127,7 +127,8 @@
             .filter(|id| counts.get(*id).copied().unwrap_or(0) < most)
             .filter_map(|id| {
                 let room = self.rooms.get(id)?;
-                let found = victims(room.life, self.view.now, &room.free, &need, priority, worth);
+                let found =
+                    victims(room.instance, self.view.now, &room.free, &need, priority, worth);
                 let (lost, chosen) = found?;
                 let taken = chosen.iter().any(|victim| self.victims.contains(victim));
                 (!taken && !chosen.is_empty()).then_some((lost, id, chosen))
@@ -161,7 +162,7 @@
         let spec = step.step;
         let need = spec.reservation();
         let most = spec.max_per_worker.unwrap_or(u32::MAX);
-        let avoided = step.job.avoid.get(&task);
+        let avoided = step.job.avoided_workers.get(&task);
         let job = &step.job.spec.id;
         let suspected = step.job.is_suspected(task);
         let fits = |id: &&WorkerId| {
@@ -175,12 +176,12 @@
         };
         let cost = |id: &&WorkerId| {
             let room = &self.rooms[*id];
-            let far = spec.affinity.as_ref().is_some_and(|rack| rack != room.life.rack());
+            let far = spec.affinity.as_ref().is_some_and(|rack| rack != room.instance.rack());
             let failed = avoided.is_some_and(|avoided| avoided.contains(*id));
-            let disturbs =
-                (spec.best_effort && room.serves) || (spec.target.is_some() && room.fills);
+            let disturbs = (spec.best_effort && room.runs_latency_bound)
+                || (spec.target.is_some() && room.runs_best_effort);
             let rest = match spec.best_effort {
-                _ if suspected => u32::try_from(room.life.runs.len()).unwrap_or(u32::MAX),
+                _ if suspected => u32::try_from(room.instance.runs.len()).unwrap_or(u32::MAX),
                 true => u32::MAX - room.free.millicores.saturating_sub(room.wanted),
                 false => room.free.millicores - need.millicores,
             };
@@ -197,7 +198,7 @@
         let spec = step.step;
         if let Some(room) = self.rooms.get_mut(worker) {
             room.spare = room.spare.saturating_sub(&spec.reservation());
-            room.serves |= spec.target.is_some();
+            room.runs_latency_bound |= spec.target.is_some();
             room.note_start(&step.job.spec.id, step.job.is_suspected(task));
         }
     }
@@ -210,9 +211,9 @@
             room.spare = room.spare.saturating_sub(&spec.reservation());
             if spec.best_effort {
                 room.wanted = room.wanted.saturating_add(spec.need.millicores);
-                room.fills = true;
+                room.runs_best_effort = true;
             }
-            room.serves |= spec.target.is_some();
+            room.runs_latency_bound |= spec.target.is_some();
         }
     }
 }
--- a/src/graph/placer/room.rs
+++ b/src/graph/placer/worker_capacity.rs
@@ -6,13 +6,13 @@
 
 use crate::graph::health::HealthRank;
 use crate::graph::name::GraphId;
-use crate::graph::worker::WorkerLife;
+use crate::graph::worker::WorkerInstance;
 use crate::resources::ResourceVector;
 
 /// Room on a worker as the pass goes on.
 #[derive(Clone)]
-pub(super) struct PassRoom<'t> {
-    pub(super) life: &'t WorkerLife,
+pub(super) struct WorkerCapacity<'t> {
+    pub(super) instance: &'t WorkerInstance,
     pub(super) health: HealthRank,
     /// Free and not kept for a task.
     pub(super) free: ResourceVector,
@@ -20,8 +20,8 @@
     pub(super) spare: ResourceVector,
     /// Processors that best-effort tasks here would use.
     pub(super) wanted: u32,
-    pub(super) serves: bool,
-    pub(super) fills: bool,
+    pub(super) runs_latency_bound: bool,
+    pub(super) runs_best_effort: bool,
     /// Jobs with runs on probation here.
     pub(super) on_probation: BTreeSet<GraphId>,
     /// Job of a suspected task on probation here: there is one at most.
@@ -30,25 +30,25 @@
     pub(super) crashed: bool,
 }
 
-impl<'t> PassRoom<'t> {
+impl<'t> WorkerCapacity<'t> {
     pub(super) fn new(
-        life: &'t WorkerLife,
+        instance: &'t WorkerInstance,
         free: ResourceVector,
         crashed: bool,
         now: Instant,
     ) -> Self {
-        let new = || life.runs.iter().filter(|(_, run)| run.probation.is_some());
+        let new = || instance.runs.iter().filter(|(_, run)| run.probation.is_some());
         let suspect = new().find(|(_, run)| run.suspected).map(|(task, _)| task.job.clone());
-        let best_effort = life.runs.values().filter(|run| run.best_effort);
-        let wanted = best_effort.map(|run| run.figure).sum();
+        let best_effort = instance.runs.values().filter(|run| run.best_effort);
+        let wanted = best_effort.map(|run| run.measurement).sum();
         Self {
-            life,
-            health: life.rank(now),
+            instance,
+            health: instance.rank(now),
             free,
-            spare: life.free(),
+            spare: instance.free(),
             wanted,
-            serves: life.serves(),
-            fills: life.fills(),
+            runs_latency_bound: instance.runs_latency_bound(),
+            runs_best_effort: instance.runs_best_effort(),
             on_probation: new().map(|(task, _)| task.job.clone()).collect(),
             suspect,
             crashed,
--- a/src/graph/poll_rhythm.rs
+++ b/src/graph/poll_pacer.rs
@@ -25,12 +25,12 @@
 
 /// Polls that were lost of late, and how long the next wait for it.
 #[derive(Debug, Default)]
-pub(crate) struct PollRhythm {
+pub(crate) struct PollPacer {
     /// When polls were last found to be lost at workers that answer.
     lost: VecDeque<Instant>,
 }
 
-impl PollRhythm {
+impl PollPacer {
     /// A worker answers after a single poll that it did not.
     pub(crate) fn note_lost(&mut self, now: Instant) {
         self.lost.push_back(now);
--- a/src/graph/preemption.rs
+++ b/src/graph/preemption.rs
@@ -10,12 +10,12 @@
 use tokio::time::Instant;
 
 use crate::graph::name::{GraphId, StepKey, TaskKey, TaskName};
-use crate::graph::worker::{RunPhase, WorkerLife, WorkerRun};
+use crate::graph::worker::{RunPhase, WorkerInstance, WorkerRun};
 use crate::id::WorkerId;
 use crate::resources::ResourceVector;
 
 /// How long room is kept: a stop takes 400 ms at most, its end is listed within a poll.
-const KEEP_TIME: Duration = Duration::from_millis(1_200);
+const RESERVATION_TIME: Duration = Duration::from_millis(1_200);
 /// Work of a checkpointing task that a stop loses, on the mean: half of the checkpoint interval.
 const SAVED_LOSS: Duration = Duration::from_millis(250);
 /// Runs stopped for one task.
@@ -40,7 +40,7 @@
 
 /// Room kept for a task.
 #[derive(Clone, Debug)]
-pub struct KeptRoom {
+pub struct CapacityReservation {
     /// Where.
     pub worker: WorkerId,
     /// How much.
@@ -50,18 +50,18 @@
 
 /// All room that is kept for tasks.
 #[derive(Clone, Debug, Default)]
-pub struct RoomKeeper {
-    kept: BTreeMap<TaskName, KeptRoom>,
+pub struct ReservationTable {
+    kept: BTreeMap<TaskName, CapacityReservation>,
 }
 
-impl RoomKeeper {
+impl ReservationTable {
     /// Keeps room for a task.
     pub fn keep(&mut self, now: Instant, task: TaskName, worker: WorkerId, need: ResourceVector) {
-        self.kept.insert(task, KeptRoom { worker, need, until: now + KEEP_TIME });
+        self.kept.insert(task, CapacityReservation { worker, need, until: now + RESERVATION_TIME });
     }
 
     /// Room kept for a task.
-    pub fn get(&self, task: &TaskName) -> Option<&KeptRoom> {
+    pub fn get(&self, task: &TaskName) -> Option<&CapacityReservation> {
         self.kept.get(task)
     }
 
@@ -73,7 +73,7 @@
 
     /// Number of tasks of a step for which room is kept on a worker.
     pub fn count(&self, worker: &WorkerId, job: &GraphId, step: StepKey) -> u32 {
-        let same = |(task, kept): &(&TaskName, &KeptRoom)| {
+        let same = |(task, kept): &(&TaskName, &CapacityReservation)| {
             kept.worker == *worker && task.job == *job && task.key.step == step
         };
         u32::try_from(self.kept.iter().filter(same).count()).unwrap_or(u32::MAX)
@@ -88,14 +88,14 @@
 /// The runs to stop on a worker so that `need` fits, those that lose least first; `None` where that
 /// is not enough or not worth it.
 pub(crate) fn victims(
-    life: &WorkerLife,
+    instance: &WorkerInstance,
     now: Instant,
     free: &ResourceVector,
     need: &ResourceVector,
     priority: u32,
     worth: f64,
 ) -> Option<(f64, Vec<TaskName>)> {
-    let mut candidates: Vec<(f64, &TaskName, &WorkerRun)> = life
+    let mut candidates: Vec<(f64, &TaskName, &WorkerRun)> = instance
         .runs
         .iter()
         .filter(|(_, run)| run.priority > priority && may_stop(run))
@@ -103,7 +103,7 @@
         .collect();
     candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
     // Without what is over its room on a worker that has shrunk, one run was stopped for each urgent task, in vain.
-    let need = need.saturating_add(&life.excess());
+    let need = need.saturating_add(&instance.excess());
     let mut room = *free;
     let (mut lost, mut chosen) = (0.0, Vec::new());
     for (loss, task, run) in candidates {
