--- a/src/graph/progress.rs
+++ b/src/graph/progress.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::graph::crash::RunTrial;
+use crate::graph::crash::SuspectRun;
 use crate::graph::name::{RunNumber, StepKey, TaskKey};
 use crate::id::{DomainId, UnixMillis};
 
@@ -40,7 +40,7 @@
     /// worker has outlived since are forgotten. Kept in memory only, the count began anew with each leader.
     pub crashes: BTreeMap<TaskKey, BTreeMap<RunNumber, bool>>,
     /// Runs of suspected tasks, and runs that were given up with a silent worker, that may have crashed it.
-    pub trials: BTreeMap<TaskKey, Vec<RunTrial>>,
+    pub trials: BTreeMap<TaskKey, Vec<SuspectRun>>,
     /// Runs among those of `crashes` and `trials` that their workers had reported as begun. A start that was not answered
     /// may never have arrived.
     pub confirmed: BTreeMap<TaskKey, BTreeSet<RunNumber>>,
@@ -68,18 +68,18 @@
     }
 
     /// A run of a task may crash its worker. Tells whether that is new.
-    pub fn note_trial(&mut self, task: TaskKey, trial: RunTrial) -> bool {
+    pub fn note_suspect_run(&mut self, task: TaskKey, suspect_run: SuspectRun) -> bool {
         let trials = self.trials.entry(task).or_default();
-        let new = trials.iter().all(|known| known.run != trial.run);
+        let new = trials.iter().all(|known| known.run != suspect_run.run);
         if new {
-            trials.push(trial);
+            trials.push(suspect_run);
         }
         new
     }
 
     /// A worker has crashed with a run of a task; `sure`: the run surely went on until then.
     pub fn note_crash(&mut self, task: TaskKey, run: RunNumber, sure: bool) {
-        self.remove_trial(&task, run);
+        self.remove_suspect_run(&task, run);
         *self.crashes.entry(task).or_default().entry(run).or_default() |= sure;
     }
 
@@ -88,7 +88,7 @@
     pub fn confirm_run(&mut self, task: TaskKey, run: RunNumber) -> bool {
         let crashed = self.crashes.get(&task).is_some_and(|runs| runs.contains_key(&run));
         let mut trials = self.trials.get(&task).into_iter().flatten();
-        let kept = crashed || trials.any(|trial| trial.run == run);
+        let kept = crashed || trials.any(|suspect_run| suspect_run.run == run);
         kept && self.confirmed.entry(task).or_default().insert(run)
     }
 
@@ -98,8 +98,8 @@
     }
 
     /// What became of a run of a task is known. Tells whether it had been doubted.
-    pub fn clear_trial(&mut self, task: &TaskKey, run: RunNumber) -> bool {
-        let cleared = self.remove_trial(task, run);
+    pub fn clear_suspect_run(&mut self, task: &TaskKey, run: RunNumber) -> bool {
+        let cleared = self.remove_suspect_run(task, run);
         if cleared && let Some(confirmed) = self.confirmed.get_mut(task) {
             confirmed.remove(&run);
             if confirmed.is_empty() {
@@ -109,12 +109,12 @@
         cleared
     }
 
-    fn remove_trial(&mut self, task: &TaskKey, run: RunNumber) -> bool {
+    fn remove_suspect_run(&mut self, task: &TaskKey, run: RunNumber) -> bool {
         let Some(trials) = self.trials.get_mut(task) else {
             return false;
         };
         let before = trials.len();
-        trials.retain(|trial| trial.run != run);
+        trials.retain(|suspect_run| suspect_run.run != run);
         let cleared = trials.len() < before;
         if trials.is_empty() {
             self.trials.remove(task);
@@ -125,8 +125,8 @@
     /// A worker has outlived a run of a task: earlier crashes were not its fault. Tells whether there were any.
     pub fn clear_crashes(&mut self, task: &TaskKey) -> bool {
         self.confirmed.remove(task);
-        let trial = self.trials.remove(task).is_some();
-        self.crashes.remove(task).is_some() || trial
+        let suspect_run = self.trials.remove(task).is_some();
+        self.crashes.remove(task).is_some() || suspect_run
     }
 
     /// Runs of a task before `first` do not count any more.
@@ -201,7 +201,7 @@
     #[serde(skip_serializing_if = "Vec::is_empty")]
     crashes: Vec<(u32, u32, u32, BTreeMap<RunNumber, bool>)>,
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    trials: Vec<(u32, u32, u32, Vec<RunTrial>)>,
+    trials: Vec<(u32, u32, u32, Vec<SuspectRun>)>,
     #[serde(skip_serializing_if = "Vec::is_empty")]
     confirmed: Vec<(u32, u32, u32, BTreeSet<RunNumber>)>,
     #[serde(skip_serializing_if = "Vec::is_empty")]
--- a/src/graph/queue.rs
+++ b/src/graph/queue.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolRule {
     /// Whether its workers refuse what does not fit.
-    pub guards: bool,
+    pub enforces_capacity: bool,
     /// Whether its workers are switched off.
     pub standby: bool,
 }
--- a/src/graph/neighbours.rs
+++ b/src/graph/remote_workers.rs
@@ -7,9 +7,9 @@
 
 use tokio::time::Instant;
 
-use crate::graph::exchange::WorkerListing;
-use crate::graph::home::runs_on;
-use crate::graph::lives::RETURN_TIME;
+use crate::graph::exchange::WorkerRegistration;
+use crate::graph::home::can_run_on;
+use crate::graph::instances::RETURN_TIME;
 use crate::graph::queue::QueueRule;
 use crate::graph::shard::{ShardId, ShardScope};
 use crate::graph::spec::{GraphSpec, StepSpec};
@@ -23,37 +23,37 @@
 
 /// Registrations of workers that other leaders have.
 #[derive(Debug, Default)]
-pub(crate) struct NeighbourTable {
-    workers: BTreeMap<WorkerId, (ShardId, WorkerListing)>,
+pub(crate) struct RemoteWorkerTable {
+    workers: BTreeMap<WorkerId, (ShardId, WorkerRegistration)>,
     /// Those that are gone and may come back, and until when they count.
-    lapsed: BTreeMap<WorkerId, (Instant, ShardId, WorkerListing)>,
+    lapsed: BTreeMap<WorkerId, (Instant, ShardId, WorkerRegistration)>,
 }
 
-impl NeighbourTable {
+impl RemoteWorkerTable {
     /// A worker of another shard has registered or changed its registration.
-    pub(crate) fn listed(&mut self, shard: ShardId, listing: WorkerListing) {
-        self.lapsed.remove(&listing.id);
-        self.workers.insert(listing.id.clone(), (shard, listing));
+    pub(crate) fn registered(&mut self, shard: ShardId, registration: WorkerRegistration) {
+        self.lapsed.remove(&registration.id);
+        self.workers.insert(registration.id.clone(), (shard, registration));
     }
 
     /// A registration has gone. Its worker counts on for a while, unless it leaves.
-    pub(crate) fn unlisted(&mut self, now: Instant, id: &WorkerId) {
-        if let Some((shard, listing)) = self.workers.remove(id)
-            && listing.leaving.is_none()
+    pub(crate) fn unregistered(&mut self, now: Instant, id: &WorkerId) {
+        if let Some((shard, registration)) = self.workers.remove(id)
+            && registration.leaving.is_none()
         {
-            self.lapsed.insert(id.clone(), (now + RETURN_TIME, shard, listing));
+            self.lapsed.insert(id.clone(), (now + RETURN_TIME, shard, registration));
         }
     }
 
     /// Forgets workers whose registrations have not come back.
-    pub(crate) fn forget_lapsed(&mut self, now: Instant) {
+    pub(crate) fn forget_expired(&mut self, now: Instant) {
         self.lapsed.retain(|_, (until, ..)| now < *until);
     }
 
     /// Workers that count, and their shards.
-    fn counted(&self) -> impl Iterator<Item = (&ShardId, &WorkerListing)> {
-        let present = self.workers.values().map(|(shard, listing)| (shard, listing));
-        present.chain(self.lapsed.values().map(|(_, shard, listing)| (shard, listing)))
+    fn counted(&self) -> impl Iterator<Item = (&ShardId, &WorkerRegistration)> {
+        let present = self.workers.values().map(|(shard, registration)| (shard, registration));
+        present.chain(self.lapsed.values().map(|(_, shard, registration)| (shard, registration)))
     }
 
     /// The shard that a job is better placed in than here: the one with most of its data, or else one with
@@ -63,12 +63,14 @@
         scope: &ShardScope,
         spec: &GraphSpec,
         rule: &QueueRule,
-        own: impl Iterator<Item = &'w WorkerListing> + Clone,
+        own: impl Iterator<Item = &'w WorkerRegistration> + Clone,
     ) -> Option<ShardId> {
         if let Some(shard) = self.shard_of_data(scope, spec, own.clone()) {
             return (shard != scope.shard).then_some(shard);
         }
-        let lacks = |step: &&StepSpec| !own.clone().any(|listing| runs_on(step, rule, listing));
+        let lacks = |step: &&StepSpec| {
+            !own.clone().any(|registration| can_run_on(step, rule, registration))
+        };
         spec.steps.iter().find(lacks)?;
         let shards = scope.plan.shards();
         let whole =
@@ -81,17 +83,19 @@
         &self,
         scope: &ShardScope,
         spec: &GraphSpec,
-        own: impl Iterator<Item = &'w WorkerListing> + Clone,
+        own: impl Iterator<Item = &'w WorkerRegistration> + Clone,
     ) -> Option<ShardId> {
         let mut tasks: BTreeMap<ShardId, u32> = BTreeMap::new();
         for step in &spec.steps {
             let Some(rack) = &step.affinity else {
                 continue;
             };
-            let here = own.clone().any(|listing| listing.rack == *rack);
+            let here = own.clone().any(|registration| registration.rack == *rack);
             let elsewhere = || {
                 let mut workers = self.counted();
-                workers.find(|(_, listing)| listing.rack == *rack).map(|(shard, _)| shard.clone())
+                workers
+                    .find(|(_, registration)| registration.rack == *rack)
+                    .map(|(shard, _)| shard.clone())
             };
             let shard = if here { Some(scope.shard.clone()) } else { elsewhere() };
             if let Some(shard) = shard {
@@ -108,14 +112,14 @@
         scope: &ShardScope,
         spec: &GraphSpec,
         rule: &QueueRule,
-        own: impl Iterator<Item = &'w WorkerListing> + Clone,
+        own: impl Iterator<Item = &'w WorkerRegistration> + Clone,
     ) -> Option<Vec<(ShardId, usize)>> {
         let divisible = spec.steps.iter().all(|step| step.lasting && !step.gang);
         let widest = spec.steps.iter().max_by_key(|step| step.count)?;
         if !divisible || spec.repeat.is_some() {
             return None;
         }
-        let here = own.filter(|listing| runs_on(widest, rule, listing)).count();
+        let here = own.filter(|registration| can_run_on(widest, rule, registration)).count();
         if here >= widest.count as usize * WORKERS_A_TASK {
             return None;
         }
@@ -131,6 +135,6 @@
 
     fn count(&self, shard: &ShardId, step: &StepSpec, rule: &QueueRule) -> usize {
         let here = self.counted().filter(|(place, _)| *place == shard);
-        here.filter(|(_, listing)| runs_on(step, rule, listing)).count()
+        here.filter(|(_, registration)| can_run_on(step, rule, registration)).count()
     }
 }
--- a/src/graph/shard.rs
+++ b/src/graph/shard.rs
@@ -34,7 +34,7 @@
 
 impl ShardPlan {
     /// One leader for all workers.
-    pub fn whole() -> Self {
+    pub fn undivided() -> Self {
         Self::default()
     }
 
@@ -48,7 +48,7 @@
         let carried = (WORKERS_A_CORE * processor).max(1.0) as usize;
         let smallest = workers.values().min().copied().unwrap_or_default();
         if workers.values().sum::<usize>() <= carried || smallest < LEAST_SHARD {
-            return Self::whole();
+            return Self::undivided();
         }
         let parts = |count: &usize| {
             let most = count / LEAST_SHARD;
@@ -84,7 +84,7 @@
     }
 
     /// The failure domain of a shard, and which of the domain's shards it is.
-    pub fn place_of(&self, shard: &ShardId) -> Option<(&DomainId, u32)> {
+    pub fn domain_and_index(&self, shard: &ShardId) -> Option<(&DomainId, u32)> {
         self.domains.iter().find_map(|(domain, parts)| {
             let part = (0..*parts).find(|part| shard_name(domain, *parts, *part) == *shard);
             part.map(|part| (domain, part))
@@ -93,19 +93,20 @@
 
     /// Shards that may take a job which came in at a failure domain, nearest first. All entries give the
     /// same order, and jobs of a domain without a leader are spread over all others.
-    pub fn order_for(&self, domain: &DomainId, job: &GraphId) -> Vec<ShardId> {
+    pub fn shard_order(&self, domain: &DomainId, job: &GraphId) -> Vec<ShardId> {
         let mut shards = self.shards();
         let count = u32::try_from(shards.len()).unwrap_or(1);
         shards.rotate_left(spread(job, count) as usize);
-        let away = |shard: &ShardId| self.place_of(shard).is_none_or(|(place, _)| place != domain);
+        let away =
+            |shard: &ShardId| self.domain_and_index(shard).is_none_or(|(place, _)| place != domain);
         shards.sort_by_key(away);
         shards
     }
 
     /// Whether an entry makes calls for advice for a shard: each leader has entries of its own, as the
     /// advisor answers one call of a machine at a time.
-    pub fn is_helped_by(&self, shard: &ShardId, entry: &EntryId, domain: &DomainId) -> bool {
-        match self.place_of(shard) {
+    pub fn is_advised_by(&self, shard: &ShardId, entry: &EntryId, domain: &DomainId) -> bool {
+        match self.domain_and_index(shard) {
             Some((place, part)) => {
                 place == domain
                     && self.domains.get(place).is_some_and(|n| spread(entry, *n) == part)
--- a/src/graph/spec.rs
+++ b/src/graph/spec.rs
@@ -124,16 +124,17 @@
     }
 
     /// For each step, the longest chain of declared run times from its start to the graph's end.
-    pub fn remaining_chains(&self) -> Vec<Duration> {
-        let mut chains: Vec<Duration> = self.steps.iter().map(|step| step.estimate).collect();
+    pub fn remaining_critical_paths(&self) -> Vec<Duration> {
+        let mut critical_paths: Vec<Duration> =
+            self.steps.iter().map(|step| step.estimate).collect();
         for index in (0..self.steps.len()).rev() {
             for before in &self.steps[index].after {
-                let longer = self.steps[*before as usize].estimate + chains[index];
-                let chain = &mut chains[*before as usize];
+                let longer = self.steps[*before as usize].estimate + critical_paths[index];
+                let chain = &mut critical_paths[*before as usize];
                 *chain = (*chain).max(longer);
             }
         }
-        chains
+        critical_paths
     }
 
     /// What is wrong with the graph, in words for the caller.
--- a/src/graph/room.rs
+++ b/src/graph/step_capacity.rs
@@ -11,14 +11,14 @@
 /// Load it answers: lasting steps with one task a worker. Reckoned without the limit, workers that hold
 /// such a task seem to have room for another, and a step of 40 tasks that was allowed 28 workers asked
 /// about these for ever and left 12 tasks waiting.
-pub(crate) struct StepRoom {
+pub(crate) struct StepCapacity {
     need: ResourceVector,
     most: Option<u32>,
     /// Tasks of the step that hold or were given room, by worker; empty without a limit.
     placed: BTreeMap<WorkerId, u32>,
 }
 
-impl StepRoom {
+impl StepCapacity {
     pub(crate) fn new(step: &StepSpec, placed: BTreeMap<WorkerId, u32>) -> Self {
         Self { need: step.reservation(), most: step.max_per_worker, placed }
     }
@@ -31,12 +31,12 @@
 
     /// Tasks that fit in what is free on a worker now.
     pub(crate) fn holds(&self, worker: &WorkerId, free: &ResourceVector) -> usize {
-        room_for(free, &self.need).min(self.allows(worker)) as usize
+        tasks_that_fit(free, &self.need).min(self.allows(worker)) as usize
     }
 }
 
 /// Number of tasks of a size that a room holds.
-pub(crate) fn room_for(room: &ResourceVector, need: &ResourceVector) -> u32 {
+pub(crate) fn tasks_that_fit(room: &ResourceVector, need: &ResourceVector) -> u32 {
     let holds = |room: u32, need: u32| room.checked_div(need).unwrap_or(u32::MAX);
     holds(room.millicores, need.millicores)
         .min(holds(room.memory_mib, need.memory_mib))
--- a/src/graph/worker.rs
+++ b/src/graph/worker.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 use crate::graph::crash::PROBATION;
-use crate::graph::exchange::{LifeId, LifeStart, WorkerListing};
+use crate::graph::exchange::{InstanceId, InstanceStart, WorkerRegistration};
 use crate::graph::health::{HealthRank, WorkerHealth};
 use crate::graph::job::GraphJob;
 use crate::graph::name::{ImageId, RunNumber, StepKey, TaskName};
@@ -28,7 +28,7 @@
 
 /// Why a life of a worker counts as over.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum LifeEnd {
+pub enum InstanceEnd {
     /// Another life answers at its address, and it had not announced that it leaves: it has crashed.
     Replaced,
     /// Another life answers under its id: it has crashed.
@@ -85,7 +85,7 @@
     /// When the share done last rose.
     pub moved: Instant,
     /// Tail latency or processors in use, as the worker last said.
-    pub figure: u32,
+    pub measurement: u32,
     /// Last checkpoint seen.
     pub saved: String,
     /// Priority of its queue, 0 first.
@@ -124,16 +124,16 @@
 
 /// A life of a worker.
 #[derive(Clone, Debug)]
-pub struct WorkerLife {
+pub struct WorkerInstance {
     /// Start of the life that answers, once it was heard; until then of the one that the store names.
-    pub born: LifeStart,
+    pub instance_start: InstanceStart,
     /// The worker as it registered; for one known only from the store, as much as is known.
-    pub listing: WorkerListing,
+    pub registration: WorkerRegistration,
     /// A registration of another life than the one that was heard last, and when it came: only an answer tells whether that
     /// life is later or earlier.
-    announced: Option<(Instant, WorkerListing)>,
+    announced: Option<(Instant, WorkerRegistration)>,
     /// Whether it is registered now.
-    pub listed: bool,
+    pub registered: bool,
     /// Until when it counts as one that registers again, where its registration has gone.
     pub expected_until: Option<Instant>,
     /// When it will be gone at the earliest, where it is leaving.
@@ -141,7 +141,7 @@
     /// Whether it has answered under this leader's epoch.
     pub claimed: bool,
     /// Whether the store names it as one that may run something.
-    pub noted: bool,
+    pub in_store: bool,
     /// Its clock at a moment of ours.
     clock: Option<(Duration, Instant)>,
     /// Newest list of runs, by the worker's clock.
@@ -151,17 +151,17 @@
     /// Latest end of its lease that was sent, on its clock.
     pub lease: Option<Duration>,
     /// End of its lease that was sent with the poll that is not answered.
-    pub(crate) offered: Option<Duration>,
+    pub(crate) offered_lease_end: Option<Duration>,
     /// Latest end of its lease that it has answered to.
-    pub(crate) granted: Option<Duration>,
+    pub(crate) granted_lease_end: Option<Duration>,
     /// Number of the last end that was taken in.
     pub seen: u64,
     /// Number of the last end that the store has.
     pub durable: u64,
     /// Number of the last end by a lease that ran out.
-    pub last_lapse: u64,
+    pub last_lease_expiry: u64,
     /// Number of the first end that must not be acknowledged: its task was begun again before it was heard.
-    pub withheld: Option<u64>,
+    pub withheld_end: Option<u64>,
     /// When a poll was sent that is not answered.
     pub polling: Option<Instant>,
     /// When the next poll is due.
@@ -177,7 +177,7 @@
     /// Since when nothing listens at its address: its process has gone, where one that is only silent may be cut off.
     pub(crate) refused_since: Option<Instant>,
     /// Not used for new work until then.
-    pub shunned_until: Option<Instant>,
+    pub excluded_until: Option<Instant>,
     /// What became of the work it was given.
     pub health: WorkerHealth,
     /// All runs that take room.
@@ -208,7 +208,9 @@
             measured: (0, now),
             percent: 0,
             moved: now,
-            figure: step.filter(|step| step.best_effort).map_or(0, |step| step.need.millicores),
+            measurement: step
+                .filter(|step| step.best_effort)
+                .map_or(0, |step| step.need.millicores),
             saved: String::new(),
             priority: origin.map_or(0, |(job, _)| job.rule.priority),
             best_effort: is(|step| step.best_effort),
@@ -263,7 +265,7 @@
     }
 
     /// Whether it was surely carried out by the life that has listed it, and by no later one.
-    pub(crate) fn is_of_one_life(&self) -> bool {
+    pub(crate) fn is_of_one_instance(&self) -> bool {
         self.listed && self.sends <= 1
     }
 
@@ -277,28 +279,28 @@
     }
 }
 
-impl WorkerLife {
+impl WorkerInstance {
     /// A worker that has registered.
-    pub fn new(listing: WorkerListing, now: Instant) -> Self {
+    pub fn new(registration: WorkerRegistration, now: Instant) -> Self {
         Self {
-            born: None,
-            leaves: listing.leaving.map(|left| now + left),
-            listing,
+            instance_start: None,
+            leaves: registration.leaving.map(|left| now + left),
+            registration,
             announced: None,
-            listed: true,
+            registered: true,
             expected_until: None,
             claimed: false,
-            noted: false,
+            in_store: false,
             clock: None,
             snapshot: Duration::ZERO,
             overtaken: false,
             lease: None,
-            offered: None,
-            granted: None,
+            offered_lease_end: None,
+            granted_lease_end: None,
             seen: 0,
             durable: 0,
-            last_lapse: 0,
-            withheld: None,
+            last_lease_expiry: 0,
+            withheld_end: None,
             polling: None,
             next_poll: now,
             answered: None,
@@ -306,7 +308,7 @@
             misses: 0,
             silent_since: None,
             refused_since: None,
-            shunned_until: None,
+            excluded_until: None,
             health: WorkerHealth::default(),
             runs: BTreeMap::new(),
             obscure: false,
@@ -315,36 +317,41 @@
     }
 
     /// Whether an answer or a registration comes from another life than the one that was heard last.
-    pub(crate) fn is_other_life(&self, born: LifeStart) -> bool {
-        self.born.is_some() && born.is_some() && self.born != born
+    pub(crate) fn is_other_instance(&self, instance_start: InstanceStart) -> bool {
+        self.instance_start.is_some()
+            && instance_start.is_some()
+            && self.instance_start != instance_start
     }
 
     /// Takes in a registration.
-    pub(crate) fn take_listing(&mut self, now: Instant, listing: WorkerListing) {
-        let other_life = self.is_other_life(listing.born);
-        if other_life {
+    pub(crate) fn update_registration(&mut self, now: Instant, registration: WorkerRegistration) {
+        let other_instance = self.is_other_instance(registration.instance_start);
+        if other_instance {
             self.next_poll = now;
         }
-        let current = self.listing.born == self.born && self.listing.address == listing.address;
-        if other_life && current {
-            self.announced = Some((now, listing));
+        let current = self.registration.instance_start == self.instance_start
+            && self.registration.address == registration.address;
+        if other_instance && current {
+            self.announced = Some((now, registration));
             return;
         }
         self.announced = None;
-        self.leaves = match listing.leaving {
+        self.leaves = match registration.leaving {
             Some(left) => Some(self.leaves.unwrap_or(now + left)),
             None => None,
         };
-        self.listing = listing;
+        self.registration = registration;
     }
 
     /// A poll that was sent at `asked` is answered: a registration that came before it is that of the life which answers, or
     /// an old one.
-    pub(crate) fn settle_listing(&mut self, now: Instant, asked: Option<Instant>) {
+    pub(crate) fn confirm_list(&mut self, now: Instant, asked: Option<Instant>) {
         match self.announced.take() {
-            Some((_, listing)) if listing.born == self.born => self.take_listing(now, listing),
-            Some((at, listing)) if asked.is_none_or(|asked| asked < at) => {
-                self.announced = Some((at, listing));
+            Some((_, registration)) if registration.instance_start == self.instance_start => {
+                self.update_registration(now, registration)
+            }
+            Some((at, registration)) if asked.is_none_or(|asked| asked < at) => {
+                self.announced = Some((at, registration));
             }
             _ => {}
         }
@@ -352,41 +359,43 @@
 
     /// Whether the life that answers is the one that has registered: another may have less room and other labels.
     fn is_registered(&self) -> bool {
-        self.listed && self.announced.is_none() && !self.is_other_life(self.listing.born)
+        self.registered
+            && self.announced.is_none()
+            && !self.is_other_instance(self.registration.instance_start)
     }
 
     /// The same worker in another life, of which nothing else is known yet.
-    pub(crate) fn next_life(&self, now: Instant, born: LifeStart) -> Self {
+    pub(crate) fn next_instance(&self, now: Instant, instance_start: InstanceStart) -> Self {
         Self {
-            born,
+            instance_start,
             announced: self.announced.clone(),
-            listed: self.listed,
+            registered: self.registered,
             expected_until: self.expected_until,
             leaves: self.leaves,
             claimed: self.claimed,
-            noted: self.noted,
-            ..Self::new(self.listing.clone(), now)
+            in_store: self.in_store,
+            ..Self::new(self.registration.clone(), now)
         }
     }
 
     /// Its name.
     pub fn id(&self) -> &WorkerId {
-        &self.listing.id
+        &self.registration.id
     }
 
     /// The life that was heard last.
-    pub fn life_id(&self) -> LifeId {
-        LifeId::new(self.id().clone(), self.born)
+    pub fn instance_id(&self) -> InstanceId {
+        InstanceId::new(self.id().clone(), self.instance_start)
     }
 
     /// Where it answers.
     pub fn address(&self) -> SocketAddr {
-        self.listing.address
+        self.registration.address
     }
 
     /// Its rack.
     pub fn rack(&self) -> &RackId {
-        &self.listing.rack
+        &self.registration.rack
     }
 
     /// Takes in an answer's clock.
@@ -435,7 +444,7 @@
 
     /// It has answered a call that extended its lease.
     pub(crate) fn grant_lease(&mut self, end: Option<Duration>) {
-        self.granted = self.granted.max(end);
+        self.granted_lease_end = self.granted_lease_end.max(end);
     }
 
     /// Nothing listens at its address.
@@ -447,7 +456,7 @@
     /// unheard before, by itself or with the worker's lease.
     pub(crate) fn surely_went_on(&self, run: &WorkerRun, now: Instant) -> bool {
         let gone = self.refused_since.unwrap_or(now);
-        let leased = match (self.granted, self.clock) {
+        let leased = match (self.granted_lease_end, self.clock) {
             (Some(end), Some((clock, at))) => clock + gone.saturating_duration_since(at) < end,
             _ => false,
         };
@@ -480,46 +489,46 @@
 
     /// Number up to which ends may be acknowledged.
     pub fn acknowledgeable(&self) -> u64 {
-        self.withheld.map_or(self.durable, |first| self.durable.min(first.saturating_sub(1)))
+        self.withheld_end.map_or(self.durable, |first| self.durable.min(first.saturating_sub(1)))
     }
 
     /// Never acknowledges an end whose task was begun again, unless the lease has run out since with
     /// something running: only that leaves a trace on the worker, and the end stands for good without.
-    pub fn withhold(&mut self, number: u64) {
-        if self.last_lapse < number {
-            self.withheld = Some(self.withheld.map_or(number, |first| first.min(number)));
+    pub fn withhold_ack(&mut self, number: u64) {
+        if self.last_lease_expiry < number {
+            self.withheld_end = Some(self.withheld_end.map_or(number, |first| first.min(number)));
         }
     }
 
     /// Room that is not taken.
     pub fn free(&self) -> ResourceVector {
-        self.listing.capacity.saturating_sub(&self.used)
+        self.registration.capacity.saturating_sub(&self.used)
     }
 
     /// What it holds beyond its room, where that has shrunk.
     pub fn excess(&self) -> ResourceVector {
-        self.used.saturating_sub(&self.listing.capacity)
+        self.used.saturating_sub(&self.registration.capacity)
     }
 
     /// Whether it may be given new work, its room aside. One that left its last call unanswered may be
     /// cut off: it is looked at again at once, and a start that it does not get would hold its task for a
     /// whole lease.
-    pub fn open(&self, now: Instant, silence: Duration) -> bool {
+    pub fn accepts_work(&self, now: Instant, silence: Duration) -> bool {
         self.is_registered()
             && self.leaves.is_none()
             && self.claimed
-            && self.noted
+            && self.in_store
             && !self.obscure
             && self.misses == 0
             && self.heard.is_some()
-            && self.shunned_until.is_none_or(|until| until <= now)
+            && self.excluded_until.is_none_or(|until| until <= now)
             && self.answered.is_some_and(|at| now.saturating_duration_since(at) < silence)
     }
 
     /// What it is good for now. Where an end is withheld, those after it are not acknowledged either, and of a long
     /// list the last are not shown: it comes last, but a shard of two workers has to use it.
     pub fn rank(&self, now: Instant) -> HealthRank {
-        match self.withheld {
+        match self.withheld_end {
             Some(_) => self.health.rank(now).max(HealthRank::Doubtful),
             None => self.health.rank(now),
         }
@@ -527,12 +536,12 @@
 
     /// Whether it counts where a job is judged: it is registered, or may be again soon.
     pub fn counts(&self, now: Instant) -> bool {
-        self.listed || self.expected_until.is_some_and(|until| now < until)
+        self.registered || self.expected_until.is_some_and(|until| now < until)
     }
 
     /// Whether it has the label that a step wants.
     pub fn has_label(&self, step: &StepSpec) -> bool {
-        step.label.as_ref().is_none_or(|label| self.listing.labels.contains(label))
+        step.label.as_ref().is_none_or(|label| self.registration.labels.contains(label))
     }
 
     /// Adds a run and takes its room.
@@ -555,12 +564,12 @@
     }
 
     /// Whether a task with a bound on its tail latency runs here.
-    pub fn serves(&self) -> bool {
+    pub fn runs_latency_bound(&self) -> bool {
         self.runs.values().any(|run| run.target.is_some())
     }
 
     /// Whether a best-effort task runs here.
-    pub fn fills(&self) -> bool {
+    pub fn runs_best_effort(&self) -> bool {
         self.runs.values().any(|run| run.best_effort)
     }
 
--- a/src/graph/life_finding.rs
+++ b/src/graph/worker_event.rs
@@ -4,15 +4,15 @@
 
 use tokio::time::Instant;
 
-use crate::graph::crash::{RunTrial, WorkerCrash};
+use crate::graph::crash::{SuspectRun, WorkerCrash};
 use crate::graph::exchange::{EndReport, RunReport};
 use crate::graph::name::{RunNumber, TaskName};
-use crate::graph::worker::{LifeEnd, WorkerRun};
+use crate::graph::worker::{InstanceEnd, WorkerRun};
 use crate::id::WorkerId;
 
 /// What an answer, or its absence, says of runs.
 #[derive(Debug)]
-pub(crate) enum LifeFinding {
+pub(crate) enum WorkerEvent {
     /// A run ended.
     Ended(WorkerId, EndReport),
     /// A run that this leader has not started.
@@ -22,7 +22,7 @@
     /// A run that the worker does not have any more, or never got.
     Lost(WorkerId, LostRun),
     /// A run that may have gone on or ended when its worker's lease was over; on probation, it may have crashed it.
-    GivenUp(WorkerId, LostRun, Option<RunTrial>),
+    GivenUp(WorkerId, LostRun, Option<SuspectRun>),
     /// A run that was sent is there.
     Confirmed(WorkerId, TaskName, RunNumber),
     /// The worker obeys a later leader.
@@ -30,13 +30,13 @@
     /// The worker answered for the first time under this leader.
     Claimed(WorkerId),
     /// This life of the worker is over.
-    Over(WorkerId, LifeEnd),
+    Over(WorkerId, InstanceEnd),
     /// A worker has crashed.
     Crashed(WorkerCrash),
     /// A worker is silent: a run on probation that had begun there may have crashed it.
-    Doubted(TaskName, RunTrial),
+    Doubted(TaskName, SuspectRun),
     /// The worker of a run has outlived its start.
-    Outlived(TaskName, RunNumber),
+    Survived(TaskName, RunNumber),
 }
 
 /// A run that is gone without an end that its worker told.
@@ -49,15 +49,15 @@
     /// Last checkpoint; empty where there is none.
     pub(crate) saved: String,
     /// How long after the run's start its worker was last heard; zero where it was not.
-    pub(crate) outlived: Duration,
+    pub(crate) survived: Duration,
     /// Whether its worker had said that it has it.
     pub(crate) begun: bool,
 }
 
 impl LostRun {
     pub(crate) fn new(task: TaskName, run: WorkerRun, answered: Option<Instant>) -> Self {
-        let outlived =
+        let survived =
             answered.map_or(Duration::ZERO, |at| at.saturating_duration_since(run.since));
-        Self { task, run: run.run, saved: run.saved, outlived, begun: run.begun }
+        Self { task, run: run.run, saved: run.saved, survived, begun: run.begun }
     }
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -26,7 +26,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::http::tap::{HeadBytes, TappedStream, has_no_length};
-use crate::problem::{ProblemDetails, RanState};
+use crate::problem::{ProblemDetails, RunState};
 
 /// First pause after an error of accept, for instance too many open files; it doubles.
 const FIRST_ACCEPT_PAUSE: Duration = Duration::from_millis(5);
@@ -153,7 +153,7 @@
 /// Where the next request begins depends on which of both a reader goes by.
 fn two_lengths() -> ProblemDetails {
     let detail = "a transfer coding may not stand beside a length";
-    ProblemDetails::new(StatusCode::BAD_REQUEST, "malformed", detail).ran(RanState::No).closing()
+    ProblemDetails::new(StatusCode::BAD_REQUEST, "malformed", detail).ran(RunState::No).closing()
 }
 
 /// Binds a listener; the address may have port 0.
--- a/src/intent_file.rs
+++ b/src/intent_file.rs
@@ -2,13 +2,13 @@
 
 use jiff::Timestamp;
 
-use crate::finding::FindingList;
+use crate::diagnostic::DiagnosticList;
 use crate::id::{DomainId, UnixMillis};
 use crate::intent::{CutOffRule, IntentSpec, JobKind, SpreadRule, Urgency};
-use crate::reader::{FindingSink, TableReader};
+use crate::reader::{DiagnosticSink, TableReader};
 use crate::resources::ResourceVector;
 
-type Result<T> = std::result::Result<T, FindingList>;
+type Result<T> = std::result::Result<T, DiagnosticList>;
 
 /// Largest number of tasks that one job may have.
 pub(crate) const MAX_TASKS: u64 = 10_000;
@@ -23,14 +23,17 @@
 
 /// Parses one intent; every mistake is found before any is reported.
 pub fn parse_intent(source: &str, text: &str) -> Result<IntentSpec> {
-    let (table, mut sink) = FindingSink::parse(source, text);
+    let (table, mut sink) = DiagnosticSink::parse(source, text);
     let mut reader = TableReader::new(&table);
     let spec = read_intent(&mut reader, &mut sink);
     reader.finish(&mut sink);
     sink.finish(spec)
 }
 
-fn read_intent(reader: &mut TableReader<'_, '_>, sink: &mut FindingSink<'_>) -> Option<IntentSpec> {
+fn read_intent(
+    reader: &mut TableReader<'_, '_>,
+    sink: &mut DiagnosticSink<'_>,
+) -> Option<IntentSpec> {
     let workspace = read_name(reader, "workspace", sink);
     let name = read_name(reader, "name", sink);
     let kinds = [
@@ -38,7 +41,7 @@
         ("batch", JobKind::Batch),
         ("all-at-once", JobKind::AllAtOnce),
     ];
-    let kind = reader.word("kind", &kinds, None, sink);
+    let kind = reader.choice("kind", &kinds, None, sink);
     let need = read_resources(reader, sink);
     let count = reader.integer("count", 0..=MAX_TASKS, Some(1), sink);
     let urgency = read_urgency(reader, sink);
@@ -48,9 +51,9 @@
         ("rack", SpreadRule::Rack),
         ("failure-domain", SpreadRule::FailureDomain),
     ];
-    let spread = reader.word("spread", &spreads, Some(SpreadRule::None), sink);
+    let spread = reader.choice("spread", &spreads, Some(SpreadRule::None), sink);
     let rules = [("stay", CutOffRule::Stay), ("move", CutOffRule::Move)];
-    let cut_off = reader.word("cut_off", &rules, Some(CutOffRule::Stay), sink);
+    let cut_off = reader.choice("cut_off", &rules, Some(CutOffRule::Stay), sink);
     let domain = reader.optional_string("failure_domain", sink);
     let run_time = reader.integer("run_time_ms", 0..=MAX_RUN_TIME_MS, Some(0), sink);
     let command = reader.optional_string("command", sink).unwrap_or_default();
@@ -75,7 +78,7 @@
 fn read_name(
     reader: &mut TableReader<'_, '_>,
     key: &'static str,
-    sink: &mut FindingSink<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) -> Option<String> {
     let name = reader.string(key, sink)?;
     match is_name(&name) {
@@ -96,7 +99,7 @@
 
 fn read_resources(
     reader: &mut TableReader<'_, '_>,
-    sink: &mut FindingSink<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) -> Option<ResourceVector> {
     let millicores = reader.integer("processors_milli", 1..=MAX_MILLICORES, None, sink);
     let memory = reader.integer("memory_mib", 1..=MAX_MEMORY_MIB, None, sink);
@@ -106,7 +109,7 @@
 
 fn read_quota(
     reader: &mut TableReader<'_, '_>,
-    sink: &mut FindingSink<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) -> Option<ResourceVector> {
     let mut quota = reader.table("quota", sink)?;
     let bound = u64::from(u32::MAX);
@@ -125,7 +128,10 @@
     ))
 }
 
-fn read_urgency(reader: &mut TableReader<'_, '_>, sink: &mut FindingSink<'_>) -> Option<Urgency> {
+fn read_urgency(
+    reader: &mut TableReader<'_, '_>,
+    sink: &mut DiagnosticSink<'_>,
+) -> Option<Urgency> {
     let text = reader.optional_string("urgency", sink);
     match text.as_deref() {
         None | Some("soon") => Some(Urgency::Soon),
--- a/src/leadership/role.rs
+++ b/src/leadership/role.rs
@@ -45,7 +45,7 @@
     /// When the leader was last heard from.
     heard: Instant,
     /// When the lease is to be read or taken next.
-    next_look: Instant,
+    next_check: Instant,
     /// Whether the leader said that it does not lead any more.
     resigned: bool,
     /// Whether the leader's process is surely gone.
@@ -71,7 +71,7 @@
 
 impl FollowingRole {
     fn new(now: Instant) -> Self {
-        Self { seen: None, record: None, heard: now, next_look: now, resigned: false, gone: false }
+        Self { seen: None, record: None, heard: now, next_check: now, resigned: false, gone: false }
     }
 
     /// Notes the record; the time of its first sight bounds its holder's deadline from above.
@@ -215,7 +215,7 @@
     }
 
     /// The call to the store that is being waited for, in words.
-    pub fn waits_for(&self) -> Option<String> {
+    pub fn pending_call_name(&self) -> Option<String> {
         self.pending.as_ref().map(|(id, pending)| format!("call {id}: {pending:?}"))
     }
 
@@ -230,13 +230,13 @@
     }
 
     /// A message of the leader arrived; its lease version counts as a sight of the lease.
-    pub fn hear_leader(
+    pub fn on_leader(
         &mut self,
         now: Instant,
         token: &FencingToken,
         version: Option<KeyVersion>,
     ) -> Vec<LeadershipAction> {
-        let actions = self.hear_token(now, token);
+        let actions = self.on_token(now, token);
         let known = self.highest.clone();
         if let LeadershipRole::Following(role) = &mut self.role
             && known.as_ref() == Some(token)
@@ -258,24 +258,24 @@
     }
 
     /// The leader said that it does not lead any more: the lease may be free.
-    pub fn hear_resignation(&mut self, now: Instant) {
+    pub fn on_resignation(&mut self, now: Instant) {
         if let LeadershipRole::Following(role) = &mut self.role {
             role.resigned = true;
             role.record = None;
-            role.next_look = now;
+            role.next_check = now;
         }
     }
 
     /// The leader's process is surely gone: nobody has to wait for it.
-    pub fn hear_gone(&mut self, now: Instant) {
-        self.hear_resignation(now);
+    pub fn on_leader_gone(&mut self, now: Instant) {
+        self.on_resignation(now);
         if let LeadershipRole::Following(role) = &mut self.role {
             role.gone = true;
         }
     }
 
     /// A token was seen, for instance in the refusal of a worker.
-    pub fn hear_token(&mut self, now: Instant, token: &FencingToken) -> Vec<LeadershipAction> {
+    pub fn on_token(&mut self, now: Instant, token: &FencingToken) -> Vec<LeadershipAction> {
         if self.highest.as_ref().is_some_and(|highest| highest >= token) {
             return Vec::new();
         }
@@ -338,14 +338,14 @@
     fn wants_look(&self, now: Instant, role: &FollowingRole) -> bool {
         let silent =
             now >= role.heard + self.timing.lease_ttl / 2 || role.seen.is_none() || role.resigned;
-        silent && now >= role.next_look
+        silent && now >= role.next_check
     }
 
     fn silent_too_long(&self, now: Instant, role: &FollowingRole) -> bool {
         let ttls = if role.gone { GONE_TTLS } else { DETACHED_TTLS };
         let patience = self.timing.lease_ttl * ttls + self.timing.lease_ttl / 2 * self.rank;
         let store_gone = now >= self.store_answered + patience;
-        self.may_detach && store_gone && now >= role.heard + patience && now >= role.next_look
+        self.may_detach && store_gone && now >= role.heard + patience && now >= role.next_check
     }
 
     fn look_or_take(&mut self, now: Instant) -> Vec<LeadershipAction> {
@@ -353,7 +353,7 @@
             return Vec::new();
         };
         let pause = if role.resigned { RESIGNED_TTLS } else { CALM_TTLS };
-        role.next_look = now + self.timing.lease_ttl / pause;
+        role.next_check = now + self.timing.lease_ttl / pause;
         let taken = match (&role.record, role.seen) {
             (Some(record), Some((version, ..))) if role.expired(now) => {
                 Some((version, record.epoch))
@@ -392,7 +392,7 @@
         let LeadershipRole::Following(role) = &mut self.role else {
             return Vec::new();
         };
-        role.next_look = now + self.timing.lease_ttl * (DETACHED_TTLS + self.rank);
+        role.next_check = now + self.timing.lease_ttl * (DETACHED_TTLS + self.rank);
         let epoch = role.record.as_ref().map_or(0, |record| record.epoch);
         let base = self.highest.clone().unwrap_or(FencingToken::granted(epoch, self.entry.clone()));
         let token = base.next_round(self.entry.clone());
--- a/src/leadership/role/answers.rs
+++ b/src/leadership/role/answers.rs
@@ -46,7 +46,7 @@
     pub(super) fn conflict(&mut self, now: Instant) -> Vec<LeadershipAction> {
         match &mut self.role {
             LeadershipRole::Following(role) => {
-                role.next_look = now;
+                role.next_check = now;
                 role.record = None;
                 Vec::new()
             }
@@ -115,7 +115,7 @@
             LeadershipRole::Following(role) => {
                 role.note(now, version, record);
                 if role.expired(now) || version == 0 {
-                    role.next_look = now;
+                    role.next_check = now;
                 }
                 Vec::new()
             }
@@ -150,7 +150,7 @@
             }
             _ => {
                 let token = FencingToken::granted(epoch, holder.unwrap_or(self.entry.clone()));
-                self.hear_token(now, &token)
+                self.on_token(now, &token)
             }
         }
     }
--- a/src/message.rs
+++ b/src/message.rs
@@ -18,7 +18,7 @@
 /// What a leader tells about itself.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct LeaderNews {
+pub struct LeaderStatus {
     /// Its token.
     pub token: FencingToken,
     /// Version of the lease it wrote last.
@@ -32,7 +32,7 @@
 /// Sent by each entry to all others again and again.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-pub struct PeerHello {
+pub struct PeerHeartbeat {
     /// Version of the messages it speaks.
     pub protocol: u32,
     /// Its failure domain.
@@ -44,7 +44,7 @@
     /// Whether it is in a planned stop.
     pub draining: bool,
     /// Set while it leads its failure domain.
-    pub leading: Option<LeaderNews>,
+    pub leading: Option<LeaderStatus>,
     /// Free slots by service; `None` where they are as told before.
     pub free_slots: Option<BTreeMap<ServiceId, u32>>,
 }
@@ -55,7 +55,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum PeerMessage {
     /// Heartbeat.
-    Hello(PeerHello),
+    Hello(PeerHeartbeat),
     /// Please send your configuration.
     AskConfig,
     /// The sender's configuration.
--- a/src/node.rs
+++ b/src/node.rs
@@ -1,19 +1,19 @@
 //! The process on the platform: duties that carry out what the decisions in [`crate::graph`] ask for.
 
-mod access;
-mod answer_basis;
+mod action_executor;
+mod answer_condition;
 mod callers;
-mod calls;
 mod candidacy;
 mod clock;
 mod configuration;
 mod dependency;
-mod division;
 mod election;
+mod handover_inbox;
 mod input;
 mod keys;
 mod lateness;
 mod leader;
+mod leader_client;
 mod ledger;
 mod members;
 mod message;
@@ -23,13 +23,13 @@
 mod peers;
 mod probe;
 mod process;
-mod reach;
+mod reachability;
 mod records;
 mod registry;
 mod settings;
+mod shard_plan;
 mod shared;
-mod state_desk;
-mod succession;
+mod state_queries;
 mod view;
 
 pub(crate) use keys::{
@@ -40,7 +40,7 @@
 pub use settings::NodeSettings;
 
 #[cfg(test)]
-mod access_tests;
+mod leader_client_tests;
 #[cfg(test)]
 mod members_tests;
 #[cfg(test)]
--- a/src/node/calls.rs
+++ b/src/node/action_executor.rs
@@ -9,19 +9,19 @@
 use tokio::time::Instant;
 
 use crate::graph::{
-    AdviceCall, AnswerTime, CallFailure, CommandResult, CommitGroup, GraphAction, LeaderEpoch,
-    LifeId, StartOrder,
+    AdviceCall, AnswerTime, CallFailure, CommandResult, CommitGroup, GraphAction, InstanceId,
+    LeaderEpoch, StartCommand,
 };
 use crate::id::EntryId;
 use crate::node::input::LeaderInput;
 use crate::node::ledger::JobLedger;
 use crate::node::peers::PeerClient;
 use crate::node::shared::NodeShared;
-use crate::platform::{CallTerms, WorkerClient};
+use crate::platform::{CallContext, WorkerClient};
 use crate::ring::RingSender;
 
 /// Makes calls, each in a task of its own whose outcome goes back to the leader's duty.
-pub(crate) struct CallCarrier {
+pub(crate) struct ActionExecutor {
     shared: Arc<NodeShared>,
     leader: RingSender<LeaderInput>,
     ledger: JobLedger,
@@ -57,7 +57,7 @@
     }
 }
 
-impl CallCarrier {
+impl ActionExecutor {
     pub(crate) fn new(
         shared: Arc<NodeShared>,
         leader: RingSender<LeaderInput>,
@@ -75,10 +75,10 @@
     }
 
     /// Makes a call.
-    pub(crate) fn carry(&self, action: GraphAction) {
+    pub(crate) fn execute(&self, action: GraphAction) {
         let (workers, leader) = (self.workers.clone(), self.leader.clone());
         let (times, sent) = (self.times.clone(), Instant::now());
-        let terms = CallTerms { epoch: self.epoch, time: times.wait() };
+        let terms = CallContext { epoch: self.epoch, time: times.wait() };
         match action {
             GraphAction::Poll { worker, address, until, acked, wait } => {
                 tokio::spawn(async move {
@@ -91,17 +91,17 @@
                 tokio::spawn(async move {
                     let result = workers.start(terms, &order).await;
                     times.note(sent, &result);
-                    let StartOrder { worker, born, task, run, .. } = order;
-                    let life = LifeId::new(worker, born);
-                    leader.send(LeaderInput::Started(life, task, run, result)).await;
+                    let StartCommand { worker, instance_start, task, run, .. } = order;
+                    let instance = InstanceId::new(worker, instance_start);
+                    leader.send(LeaderInput::Started(instance, task, run, result)).await;
                 });
             }
-            GraphAction::Stop { worker, born, address, task, run } => {
+            GraphAction::Stop { worker, instance_start, address, task, run } => {
                 tokio::spawn(async move {
                     let result = workers.stop(terms, &worker, address, &task, run).await;
                     times.note(sent, &result);
-                    let life = LifeId::new(worker, born);
-                    leader.send(LeaderInput::Stopped(life, task, run, result)).await;
+                    let instance = InstanceId::new(worker, instance_start);
+                    leader.send(LeaderInput::Stopped(instance, task, run, result)).await;
                 });
             }
             GraphAction::Throttle { worker, address, task, run, percent } => {
--- a/src/node/answer_basis.rs
+++ b/src/node/answer_condition.rs
@@ -13,14 +13,14 @@
 /// have may have been accepted by a later leader, so that an absence or a count is told only within a time of the last renewal,
 /// from when that was sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum AnswerBasis {
+pub(crate) enum AnswerCondition {
     /// It counts the jobs that it has.
     Count,
     /// It does not have the job.
     Absence,
 }
 
-impl AnswerBasis {
+impl AnswerCondition {
     /// Whether the answer may be given by a leader whose lease was renewed so long ago.
     pub(crate) fn holds(self, lease_age: Duration) -> bool {
         match self {
--- a/src/node/callers.rs
+++ b/src/node/callers.rs
@@ -18,17 +18,19 @@
 use tokio::time::{Instant, timeout};
 
 use crate::graph::{GraphId, GraphRecord, QueueRule};
-use crate::node::access::{AccessFailure, LeaderAccess};
 use crate::node::clock::unix_millis;
+use crate::node::leader_client::{LeaderCallError, LeaderClient};
 use crate::node::message::{JobSubmission, LeaderAnswer, LeaderCall};
 use crate::node::shared::NodeShared;
-use crate::platform::{caller_patience, decode_job, encode_pending, encode_state, is_job_name};
-use crate::problem::{ProblemDetails, RanState, json_response};
+use crate::platform::{
+    decode_caller_timeout, decode_job, encode_pending, encode_state, is_job_name,
+};
+use crate::problem::{ProblemDetails, RunState, json_response};
 
 type Result<T> = std::result::Result<T, ProblemDetails>;
 
 /// How long a caller that says nothing is taken to wait.
-const PATIENCE: Duration = Duration::from_millis(3_000);
+const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// Kept for the answer's way back.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
 /// Part of a short patience that is kept at most: callers come back once more with their last 60 ms, and a job is taken
@@ -41,18 +43,18 @@
 
 /// Shared by all requests of callers.
 #[derive(Clone)]
-pub(crate) struct CallerDesk {
+pub(crate) struct CallerHandler {
     shared: Arc<NodeShared>,
-    access: Arc<LeaderAccess>,
+    access: Arc<LeaderClient>,
 }
 
-impl std::panic::UnwindSafe for CallerDesk {}
-impl std::panic::RefUnwindSafe for CallerDesk {}
-impl StateData for CallerDesk {}
+impl std::panic::UnwindSafe for CallerHandler {}
+impl std::panic::RefUnwindSafe for CallerHandler {}
+impl StateData for CallerHandler {}
 
-impl CallerDesk {
+impl CallerHandler {
     pub(crate) fn new(shared: Arc<NodeShared>) -> Self {
-        let access = Arc::new(LeaderAccess::new(shared.clone()));
+        let access = Arc::new(LeaderClient::new(shared.clone()));
         Self { shared, access }
     }
 }
@@ -70,7 +72,7 @@
     Box::pin(async move {
         let begun = Instant::now();
         let body = Body::try_take_from(&mut state).unwrap_or_default();
-        let desk = CallerDesk::borrow_from(&state).clone();
+        let desk = CallerHandler::borrow_from(&state).clone();
         let method = Method::borrow_from(&state).clone();
         let uri = Uri::borrow_from(&state).clone();
         let version = *Version::borrow_from(&state);
@@ -102,8 +104,9 @@
 
 impl CallerRequest<'_> {
     /// Time that is left for an answer.
-    fn patience(&self) -> Duration {
-        let whole = caller_patience(self.headers).ok().flatten().unwrap_or(PATIENCE);
+    fn caller_timeout(&self) -> Duration {
+        let whole =
+            decode_caller_timeout(self.headers).ok().flatten().unwrap_or(DEFAULT_CALLER_TIMEOUT);
         let margin = ANSWER_MARGIN.min(whole / MARGIN_PART);
         whole.saturating_sub(margin).saturating_sub(self.begun.elapsed())
     }
@@ -133,16 +136,18 @@
         }
     }
 
-    fn check_patience(&self) -> Result<()> {
+    fn check_caller_timeout(&self) -> Result<()> {
         let wrong = |detail| ProblemDetails::new(StatusCode::BAD_REQUEST, "no such time", detail);
-        caller_patience(self.headers).map(|_| ()).map_err(|detail| wrong(detail).ran(RanState::No))
+        decode_caller_timeout(self.headers)
+            .map(|_| ())
+            .map_err(|detail| wrong(detail).ran(RunState::No))
     }
 }
 
-impl CallerDesk {
+impl CallerHandler {
     async fn answer(&self, request: &CallerRequest<'_>, body: Body) -> Result<Response<Body>> {
         request.check_host()?;
-        request.check_patience()?;
+        request.check_caller_timeout()?;
         let config = self.shared.config.borrow().clone();
         let Some(config) = config else {
             return Err(unavailable("there is no configuration yet"));
@@ -185,27 +190,27 @@
     ) -> Result<Response<Body>> {
         let spec = decode_job(&queue.id, name, body, unix_millis()).map_err(|mistakes| {
             let status = StatusCode::BAD_REQUEST;
-            ProblemDetails::new(status, "no such job can be", mistakes.join("; ")).ran(RanState::No)
+            ProblemDetails::new(status, "no such job can be", mistakes.join("; ")).ran(RunState::No)
         })?;
         let record = GraphRecord { spec, rule: (**queue).clone(), home: None, share: None };
-        let patience = request.patience();
+        let caller_timeout = request.caller_timeout();
         let attempt = rand::random();
-        let submission = JobSubmission { attempt, patience, forced: false, record };
-        match self.access.submit(submission, patience).await {
+        let submission = JobSubmission { attempt, caller_timeout, forced: false, record };
+        match self.access.submit(submission, caller_timeout).await {
             Ok(LeaderAnswer::Rejected(retry)) => {
                 Err(unavailable("the job could not be taken").retry_after(retry))
             }
             Ok(LeaderAnswer::NotLeading | LeaderAnswer::Elsewhere(_))
-            | Err(AccessFailure::NotTaken) => Err(unavailable("no leader can be reached")),
+            | Err(LeaderCallError::NotTaken) => Err(unavailable("no leader can be reached")),
             Ok(_) => Ok(json_response(StatusCode::OK, &serde_json::json!({}))),
-            Err(AccessFailure::Unknown) => Err(unknown()),
+            Err(LeaderCallError::Unknown) => Err(unknown()),
         }
     }
 
     async fn state(&self, request: &CallerRequest<'_>, name: &str) -> Result<Response<Body>> {
         let job = GraphId::from(name);
         let call = LeaderCall::State(job.clone());
-        let answer = match self.access.ask_owner(&job, &call, request.patience() / 2).await {
+        let answer = match self.access.ask_owner(&job, &call, request.caller_timeout() / 2).await {
             Ok(answer @ (LeaderAnswer::State(_) | LeaderAnswer::Gone)) => Some(answer),
             _ => self.access.stored_state(&job).await,
         };
@@ -219,13 +224,13 @@
     async fn cancel(&self, request: &CallerRequest<'_>, name: &str) -> Result<Response<Body>> {
         let job = GraphId::from(name);
         let call = LeaderCall::Cancel(job.clone());
-        match self.access.ask_owner(&job, &call, request.patience()).await {
+        match self.access.ask_owner(&job, &call, request.caller_timeout()).await {
             Ok(LeaderAnswer::Cancelled) => {
                 Ok(json_response(StatusCode::OK, &serde_json::json!({})))
             }
             Ok(LeaderAnswer::Gone) => Err(gone(name)),
-            Ok(_) | Err(AccessFailure::NotTaken) => Err(unavailable("no leader can be reached")),
-            Err(AccessFailure::Unknown) => Err(unknown()),
+            Ok(_) | Err(LeaderCallError::NotTaken) => Err(unavailable("no leader can be reached")),
+            Err(LeaderCallError::Unknown) => Err(unknown()),
         }
     }
 
@@ -234,7 +239,7 @@
         request: &CallerRequest<'_>,
         queue: &QueueRule,
     ) -> Result<Response<Body>> {
-        match self.access.pending(&queue.id, request.patience()).await {
+        match self.access.pending(&queue.id, request.caller_timeout()).await {
             Some(pending) => Ok(encode_pending(pending)),
             None => Err(unavailable("the queue cannot be counted now")),
         }
@@ -267,20 +272,20 @@
 /// The request breaks the rules of HTTP, so where the next begins is not sure.
 fn malformed(detail: &str) -> ProblemDetails {
     let status = StatusCode::BAD_REQUEST;
-    ProblemDetails::new(status, "malformed", detail).ran(RanState::No).closing()
+    ProblemDetails::new(status, "malformed", detail).ran(RunState::No).closing()
 }
 
 /// The request has not run and will not.
 fn unavailable(detail: &str) -> ProblemDetails {
     ProblemDetails::new(StatusCode::SERVICE_UNAVAILABLE, "not taken", detail)
-        .ran(RanState::No)
+        .ran(RunState::No)
         .retry_after(RETRY_AFTER)
 }
 
 /// The request may have been carried out.
 fn unknown() -> ProblemDetails {
     let detail = "the leader did not answer; the same request may be sent again";
-    ProblemDetails::new(StatusCode::GATEWAY_TIMEOUT, "no answer", detail).ran(RanState::Unknown)
+    ProblemDetails::new(StatusCode::GATEWAY_TIMEOUT, "no answer", detail).ran(RunState::Unknown)
 }
 
 fn gone(name: &str) -> ProblemDetails {
--- a/src/node/candidacy.rs
+++ b/src/node/candidacy.rs
@@ -10,7 +10,7 @@
 use crate::graph::{LeaderEpoch, ShardId};
 use crate::id::EntryId;
 use crate::node::input::LeaderInput;
-use crate::node::leader::LeaderDuty;
+use crate::node::leader::LeaderLoop;
 use crate::node::records::{LeaderTerm, unknown_leader};
 use crate::node::shared::NodeShared;
 use crate::node::view::MemberView;
@@ -41,7 +41,7 @@
 }
 
 /// What the store says of this process in a shard.
-pub(crate) enum Standing {
+pub(crate) enum CandidacyState {
     /// Nothing that it does not know.
     Unchanged,
     /// Another leads.
@@ -115,7 +115,7 @@
     /// led for longer than that could go on.
     pub(crate) fn still_going(&self, view: &MemberView) -> Option<(EntryId, u64)> {
         let bounds = self.shared.settings.bounds;
-        let long = self.leads_for(bounds.blind + bounds.longest_lease);
+        let long = self.leads_for(bounds.lease_extension_window + bounds.longest_lease);
         self.predecessor.clone().filter(|_| !long && !view.has_ended(&self.predecessor))
     }
 
@@ -129,7 +129,7 @@
     }
 
     /// The lease in the store has ended.
-    pub(crate) fn note_lapse(&mut self) {
+    pub(crate) fn note_lease_expiry(&mut self) {
         if let Some(leadership) = &mut self.leadership {
             leadership.lapsed = true;
         }
@@ -151,18 +151,18 @@
     }
 
     /// What the store says of this process; `registered` tells whether it has a lease there.
-    pub(crate) fn standing(&self, view: &MemberView, registered: bool) -> Standing {
+    pub(crate) fn standing(&self, view: &MemberView, registered: bool) -> CandidacyState {
         let led = view.shard(&self.shard);
         let mine = led.leader.as_ref().filter(|leader| leader.start == self.shared.start);
         match (&self.leadership, mine) {
             (Some(own), None) if led.epoch > own.epoch => {
                 warn!(shard = &*self.shard, epoch = own.epoch, later = led.epoch; "another leads");
-                Standing::Succeeded
+                CandidacyState::Succeeded
             }
             (None, Some(leader))
-                if self.shared.succession.awaits_word(&self.shard, leader.epoch) =>
+                if self.shared.handover_inbox.awaits_term(&self.shard, leader.epoch) =>
             {
-                Standing::Unchanged
+                CandidacyState::Unchanged
             }
             (None, Some(leader))
                 if leader.epoch == led.epoch && leader.epoch > self.last_epoch && registered =>
@@ -170,15 +170,15 @@
                 // Who led before is not known any more: it is taken to go on for as long as it may.
                 let predecessor = Some(unknown_leader());
                 let (epoch, epoch_revision) = (leader.epoch, led.epoch_revision);
-                Standing::Won(LeaderTerm { epoch, epoch_revision, predecessor })
+                CandidacyState::Won(LeaderTerm { epoch, epoch_revision, predecessor })
             }
             (None, Some(leader))
                 if leader.epoch == led.epoch && leader.epoch <= self.last_epoch =>
             {
-                Standing::Abandoned
+                CandidacyState::Abandoned
             }
-            (Some(own), _) if own.task.is_finished() => Standing::BrokenOff,
-            _ => Standing::Unchanged,
+            (Some(own), _) if own.task.is_finished() => CandidacyState::BrokenOff,
+            _ => CandidacyState::Unchanged,
         }
     }
 
@@ -240,7 +240,7 @@
         let (input, receiver) = ring("leader", LEADER_RING);
         let _ = input.offer(renewal);
         let shard = self.shard.clone();
-        let duty = LeaderDuty::new(self.shared.clone(), shard, term, input.clone(), receiver);
+        let duty = LeaderLoop::new(self.shared.clone(), shard, term, input.clone(), receiver);
         let task = tokio::spawn(duty.run());
         self.leadership = Some(Leadership { epoch, lapsed: false, in_doubt: false, input, task });
     }
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -21,11 +21,11 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// Follows the configuration in the store.
-pub(crate) struct ConfigDuty {
+pub(crate) struct ConfigLoop {
     shared: Arc<NodeShared>,
 }
 
-impl ConfigDuty {
+impl ConfigLoop {
     pub(crate) fn new(shared: Arc<NodeShared>) -> Self {
         Self { shared }
     }
--- a/src/node/dependency.rs
+++ b/src/node/dependency.rs
@@ -1,6 +1,6 @@
 //! What a process depends on, and the lines and counts of its losses: the same rule for all duties.
 
-mod rule;
+mod monitor;
 
 use std::fmt::Display;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -9,7 +9,7 @@
 use log::{info, warn};
 use tokio::time::sleep;
 
-pub(crate) use rule::{DependencyLine, DependencyRule, DutyRhythm};
+pub(crate) use monitor::{DependencyEvent, DependencyMonitor, RetryMode};
 
 /// Interval of looks for losses that no duty suffers from any more: well under the second between lines.
 const LOOK_PAUSE: Duration = Duration::from_millis(250);
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct DependencyLog {
     name: &'static str,
-    rule: Arc<Mutex<DependencyRule>>,
+    rule: Arc<Mutex<DependencyMonitor>>,
 }
 
 impl DependencyLog {
@@ -56,14 +56,14 @@
 
     /// A try of a duty that goes on trying has failed.
     pub(crate) fn failed(&self, duty: &str, failure: impl Display) {
-        self.note_failure(duty, DutyRhythm::Steady, &failure);
+        self.note_failure(duty, RetryMode::Steady, &failure);
     }
 
     /// A try that there was need of has ended.
     pub(crate) fn tried<T, E: Display>(&self, duty: &str, result: &Result<T, E>) {
         match result {
             Ok(_) => self.answered(duty),
-            Err(failure) => self.note_failure(duty, DutyRhythm::AtNeed, failure),
+            Err(failure) => self.note_failure(duty, RetryMode::OnDemand, failure),
         }
     }
 
@@ -73,17 +73,17 @@
     }
 
     fn look(&self) {
-        self.take(DependencyRule::look);
+        self.take(DependencyMonitor::look);
     }
 
-    fn note_failure(&self, duty: &str, rhythm: DutyRhythm, failure: &dyn Display) {
+    fn note_failure(&self, duty: &str, pacer: RetryMode, failure: &dyn Display) {
         metrics::counter!("kelplink_dependency_tries_failed_total", "dependency" => self.name)
             .increment(1);
-        self.take(|rule| rule.failed(duty, rhythm, failure.to_string()));
+        self.take(|rule| rule.failed(duty, pacer, failure.to_string()));
     }
 
     /// Puts an event through the rule, and gives what follows for log and metrics.
-    fn take(&self, event: impl FnOnce(&mut DependencyRule) -> Option<DependencyLine>) {
+    fn take(&self, event: impl FnOnce(&mut DependencyMonitor) -> Option<DependencyEvent>) {
         let (before, lost, line) = {
             let mut rule = self.rule.lock().unwrap_or_else(PoisonError::into_inner);
             let before = rule.is_lost();
@@ -105,19 +105,19 @@
         losses.increment(u64::from(lost));
     }
 
-    fn write(&self, line: DependencyLine) {
+    fn write(&self, line: DependencyEvent) {
         let dependency = self.name;
         match line {
-            DependencyLine::Lost { duty, failure, answer_age, short_losses } => {
+            DependencyEvent::Lost { duty, failure, answer_age, short_losses } => {
                 let answer_age_ms =
                     answer_age.map_or("none".to_owned(), |age| millis(age).to_string());
                 warn!(dependency, duty, failure, answer_age_ms, short_losses; "a dependency is lost");
             }
-            DependencyLine::StillLost { duties, failure, away, tries_failed } => {
+            DependencyEvent::StillLost { duties, failure, away, tries_failed } => {
                 let (duties, away_ms) = (duties.join(", "), millis(away));
                 warn!(dependency, duties, failure, away_ms, tries_failed; "a dependency is still lost");
             }
-            DependencyLine::Back { away, tries_failed } => {
+            DependencyEvent::Back { away, tries_failed } => {
                 info!(dependency, away_ms = millis(away), tries_failed; "a dependency is back");
             }
         }
--- a/src/node/dependency/rule.rs
+++ b/src/node/dependency/monitor.rs
@@ -16,26 +16,26 @@
 
 /// How long a duty goes on trying.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum DutyRhythm {
+pub(crate) enum RetryMode {
     /// Without end.
     Steady,
     /// Where there is need.
-    AtNeed,
+    OnDemand,
 }
 
-impl DutyRhythm {
+impl RetryMode {
     /// How long a failure counts without another.
     fn memory(self) -> Duration {
         match self {
             Self::Steady => STEADY_MEMORY,
-            Self::AtNeed => NEED_MEMORY,
+            Self::OnDemand => NEED_MEMORY,
         }
     }
 }
 
 /// A line that is due.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) enum DependencyLine {
+pub(crate) enum DependencyEvent {
     /// The first try that failed.
     Lost {
         duty: String,
@@ -88,14 +88,14 @@
 
 /// One line when a dependency is lost, one when it is back, and at most one a second between.
 #[derive(Debug, Default)]
-pub(crate) struct DependencyRule {
+pub(crate) struct DependencyMonitor {
     loss: Option<DependencyLoss>,
     answered: Option<Instant>,
     last_line: Option<Instant>,
     short_losses: u64,
 }
 
-impl DependencyRule {
+impl DependencyMonitor {
     /// Whether the dependency is lost.
     pub(crate) fn is_lost(&self) -> bool {
         self.loss.is_some()
@@ -105,15 +105,15 @@
     pub(crate) fn failed(
         &mut self,
         duty: &str,
-        rhythm: DutyRhythm,
+        pacer: RetryMode,
         failure: String,
-    ) -> Option<DependencyLine> {
+    ) -> Option<DependencyEvent> {
         let now = Instant::now();
         let loss = self.loss.get_or_insert_with(|| DependencyLoss::new(now));
         loss.latest = now;
         loss.tries_failed += 1;
         let until = loss.failing.entry(duty.to_owned()).or_insert(now);
-        *until = (*until).max(now + rhythm.memory());
+        *until = (*until).max(now + pacer.memory());
         if self.last_line.is_some_and(|at| now.saturating_duration_since(at) < LINE_PAUSE) {
             return None;
         }
@@ -121,10 +121,10 @@
         if loss.told {
             let duties = loss.failing.keys().cloned().collect();
             let (away, tries_failed) = (loss.away(), loss.tries_failed);
-            return Some(DependencyLine::StillLost { duties, failure, away, tries_failed });
+            return Some(DependencyEvent::StillLost { duties, failure, away, tries_failed });
         }
         loss.told = true;
-        Some(DependencyLine::Lost {
+        Some(DependencyEvent::Lost {
             duty: duty.to_owned(),
             failure,
             answer_age: self.answered.map(|at| now.saturating_duration_since(at)),
@@ -133,7 +133,7 @@
     }
 
     /// A try of a duty was answered.
-    pub(crate) fn answered(&mut self, duty: &str) -> Option<DependencyLine> {
+    pub(crate) fn answered(&mut self, duty: &str) -> Option<DependencyEvent> {
         let now = Instant::now();
         self.answered = Some(now);
         if let Some(loss) = &mut self.loss
@@ -145,7 +145,7 @@
     }
 
     /// Ends a loss of which no duty suffers any more.
-    pub(crate) fn look(&mut self) -> Option<DependencyLine> {
+    pub(crate) fn look(&mut self) -> Option<DependencyEvent> {
         let now = Instant::now();
         let loss = self.loss.as_mut()?;
         loss.failing.retain(|_, until| *until > now);
@@ -158,6 +158,6 @@
             return None;
         }
         self.last_line = Some(now);
-        Some(DependencyLine::Back { away: loss.away(), tries_failed: loss.tries_failed })
+        Some(DependencyEvent::Back { away: loss.away(), tries_failed: loss.tries_failed })
     }
 }
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -14,13 +14,13 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::graph::ShardId;
-use crate::node::answer_basis::LEASE_TTL;
-use crate::node::candidacy::{Candidacy, Standing};
+use crate::node::answer_condition::LEASE_TTL;
+use crate::node::candidacy::{Candidacy, CandidacyState};
 use crate::node::keys::{
     ENTRY_PREFIX, KeySet, KeyTransaction, LeaseId, StoreError, TransactionOutcome, epoch_key,
     leader_key,
 };
-use crate::node::lateness::LatenessRule;
+use crate::node::lateness::LatenessMonitor;
 use crate::node::peers::PeerClient;
 use crate::node::records::{EntryRecord, EpochRecord, LeaderRecord, LeaderTerm};
 use crate::node::shared::NodeShared;
@@ -38,7 +38,7 @@
 const SLOW_REST: Duration = Duration::from_secs(10);
 
 /// Stays registered and takes part in elections.
-pub(crate) struct ElectionDuty {
+pub(crate) struct ElectionLoop {
     shared: Arc<NodeShared>,
     lease: Option<LeaseId>,
     renewed: Option<Instant>,
@@ -47,13 +47,13 @@
     registered: u64,
     /// This process in each shard.
     candidacies: BTreeMap<ShardId, Candidacy>,
-    lateness: LatenessRule,
+    lateness: LatenessMonitor,
     peers: PeerClient,
     /// Until when this process does not stand, as its machine was too slow.
     rests_until: Option<Instant>,
 }
 
-impl ElectionDuty {
+impl ElectionLoop {
     pub(crate) fn new(shared: Arc<NodeShared>) -> Self {
         Self {
             shared,
@@ -61,7 +61,7 @@
             renewed: None,
             registered: 0,
             candidacies: BTreeMap::new(),
-            lateness: LatenessRule::new(),
+            lateness: LatenessMonitor::new(),
             peers: PeerClient::new(),
             rests_until: None,
         }
@@ -87,7 +87,7 @@
             }
             // Nobody leads before the division is known.
             if members.borrow().plan.is_some() {
-                for (shard, term) in self.shared.succession.take_given() {
+                for (shard, term) in self.shared.handover_inbox.take_terms() {
                     self.begin_given(&shard, term);
                 }
             }
@@ -101,7 +101,7 @@
                 () = sleep_until(wake) => self.note_lateness(wake.elapsed()).await,
                 _ = members.changed() => {}
                 _ = draining.changed() => {}
-                () = self.shared.succession.given() => {}
+                () = self.shared.handover_inbox.term_given() => {}
             }
         }
     }
@@ -114,13 +114,13 @@
 
     /// Tries to become the leader where there is none and it is this entry's turn; gives when it will be.
     async fn stand_in_turn(&mut self, shard: &ShardId, view: &MemberView) -> Option<Instant> {
-        if !self.may_stand(shard, view) {
+        if !self.may_campaign(shard, view) {
             self.candidacy(shard).rest();
             return None;
         }
         let turn = self.candidacy(shard).turn(view);
         if turn <= Instant::now() {
-            self.stand(shard, view).await;
+            self.campaign(shard, view).await;
             self.candidacy(shard).rest();
         }
         Some(turn.max(Instant::now()))
@@ -147,7 +147,7 @@
     /// Leaves leading to others for a while.
     fn rest(&mut self) {
         self.rests_until = Some(Instant::now() + SLOW_REST);
-        self.shared.succession.set_lease(None);
+        self.shared.handover_inbox.set_lease(None);
     }
 
     /// Whether a machine with twice the processor leads nothing: with more to do than this one can, it goes first.
@@ -173,7 +173,7 @@
             Ok(false) => {
                 self.shared.dependencies.store.answered(DUTY);
                 warn!("the lease in the store has ended");
-                self.note_lapse();
+                self.note_lease_expiry();
                 Duration::ZERO
             }
             Err(error) => {
@@ -184,16 +184,16 @@
     }
 
     /// The lease has ended, and with it the keys of this entry and of its leaders.
-    fn note_lapse(&mut self) {
+    fn note_lease_expiry(&mut self) {
         self.lease = None;
-        self.shared.succession.set_lease(None);
-        self.candidacies.values_mut().for_each(Candidacy::note_lapse);
+        self.shared.handover_inbox.set_lease(None);
+        self.candidacies.values_mut().for_each(Candidacy::note_lease_expiry);
     }
 
     /// Tells leaders that leave whether this entry can lead next.
     fn offer_lease(&self) {
         let rests = self.rests_until.is_some_and(|until| until > Instant::now());
-        self.shared.succession.set_lease(self.lease.filter(|_| !rests));
+        self.shared.handover_inbox.set_lease(self.lease.filter(|_| !rests));
     }
 
     async fn register(&mut self) -> Result<bool, StoreError> {
@@ -225,22 +225,22 @@
         let registered = self.lease.is_some();
         let renewed = self.renewed;
         match self.candidacy(shard).standing(view, registered) {
-            Standing::Unchanged => {}
-            Standing::Succeeded => self.candidacy(shard).end().await,
-            Standing::Won(term) if term.epoch_revision < self.registered => {}
-            Standing::Won(term) => self.candidacy(shard).begin(term, renewed),
-            Standing::BrokenOff => {
+            CandidacyState::Unchanged => {}
+            CandidacyState::Succeeded => self.candidacy(shard).end().await,
+            CandidacyState::Won(term) if term.epoch_revision < self.registered => {}
+            CandidacyState::Won(term) => self.candidacy(shard).begin(term, renewed),
+            CandidacyState::BrokenOff => {
                 warn!(shard = &**shard; "the leader's duty has ended");
                 self.candidacy(shard).end().await;
                 self.release(shard, view).await;
             }
             // Left standing after a try without an answer, the key would keep the shard without a leader for as long as
             // this entry lives.
-            Standing::Abandoned => self.release(shard, view).await,
+            CandidacyState::Abandoned => self.release(shard, view).await,
         }
     }
 
-    fn may_stand(&self, shard: &ShardId, view: &MemberView) -> bool {
+    fn may_campaign(&self, shard: &ShardId, view: &MemberView) -> bool {
         let rests = self.rests_until.is_some_and(|until| until > Instant::now());
         view.known
             && !rests
@@ -250,7 +250,7 @@
     }
 
     /// Tries to become the leader.
-    async fn stand(&mut self, shard: &ShardId, view: &MemberView) {
+    async fn campaign(&mut self, shard: &ShardId, view: &MemberView) {
         let Some(lease) = self.lease else {
             return;
         };
@@ -297,7 +297,7 @@
                 self.candidacy(shard).begin(term, renewed);
             }
             Ok(TransactionOutcome::Conflict(_)) => sleep(RETRY_PAUSE).await,
-            Ok(TransactionOutcome::NoLease) => self.note_lapse(),
+            Ok(TransactionOutcome::NoLease) => self.note_lease_expiry(),
             Err(_) => sleep(RETRY_PAUSE).await,
         }
     }
--- a/src/node/election/handover.rs
+++ b/src/node/election/handover.rs
@@ -5,12 +5,12 @@
 
 use crate::graph::{LeaderEpoch, ShardId};
 use crate::id::EntryId;
-use crate::node::election::{DUTY, ElectionDuty, RETRY_PAUSE, encode};
+use crate::node::election::{DUTY, ElectionLoop, RETRY_PAUSE, encode};
+use crate::node::handover_inbox::SuccessorOffer;
 use crate::node::keys::{
     KeyItem, KeySet, KeyTransaction, StoreError, TransactionOutcome, epoch_key, leader_key,
 };
 use crate::node::records::{EpochRecord, LeaderRecord, LeaderTerm};
-use crate::node::succession::SuccessorOffer;
 use crate::node::view::{MemberView, ShardView};
 
 /// Entries that a leader which leaves asks whether they can lead next.
@@ -20,14 +20,14 @@
 /// Part of the grace period of a planned stop for which a leader stays while the store does not answer.
 const LEAVE_SHARE: f64 = 0.65;
 
-impl ElectionDuty {
+impl ElectionLoop {
     /// Gives all leadership of this process to others; tells whether the store has that.
     pub(super) async fn hand_over(&mut self) -> bool {
         let led = self.candidacies.iter().filter(|(_, own)| own.leads());
         let shards: Vec<ShardId> = led.map(|(shard, _)| shard.clone()).collect();
         let mut all = true;
         for shard in shards {
-            all &= self.pass_on(&shard).await;
+            all &= self.transfer_leadership(&shard).await;
         }
         all
     }
@@ -38,7 +38,7 @@
         let doubted = self.candidacies.iter().filter(|(_, own)| own.in_doubt());
         let shards: Vec<ShardId> = doubted.map(|(shard, _)| shard.clone()).collect();
         for shard in shards {
-            if self.pass_on(&shard).await {
+            if self.transfer_leadership(&shard).await {
                 self.rest();
             }
         }
@@ -46,7 +46,7 @@
 
     /// Names the next leader of a shard in the store, goes on until the store has that, and tells it: an election in its
     /// place leaves the shard without a leader for several calls to the store, or until a store that is down is back.
-    async fn pass_on(&mut self, shard: &ShardId) -> bool {
+    async fn transfer_leadership(&mut self, shard: &ShardId) -> bool {
         let view = self.shared.members.borrow().clone();
         let led = view.shard(shard);
         let Some(epoch) = self.candidacy(shard).epoch() else {
@@ -171,11 +171,11 @@
     /// A planned stop: leadership goes to another, which need not fear this process. With a store that is down it is
     /// kept, as nobody else can be elected.
     pub(super) async fn leave(&mut self) {
-        self.shared.succession.set_lease(None);
+        self.shared.handover_inbox.set_lease(None);
         let until = Instant::now() + self.shared.settings.grace.mul_f64(LEAVE_SHARE);
         while !self.hand_over().await && Instant::now() < until {
             let pause = self.renew().await;
-            self.shared.succession.set_lease(None);
+            self.shared.handover_inbox.set_lease(None);
             sleep(pause.min(RETRY_PAUSE)).await;
         }
         for candidacy in self.candidacies.values_mut() {
--- a/src/node/election/lease_tests.rs
+++ b/src/node/election/lease_tests.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::graph::{GraphId, QueueConfig, RequestLimits, ShardId, ShardPlan};
-use crate::node::election::ElectionDuty;
+use crate::node::election::ElectionLoop;
 use crate::node::input::LeaderInput;
 use crate::node::message::{LeaderAnswer, LeaderCall};
 use crate::node::own_leader::ask_here;
@@ -28,17 +28,17 @@
 }
 
 /// An entry that has registered.
-async fn registered(store: SocketAddr) -> (Arc<NodeShared>, ElectionDuty) {
+async fn registered(store: SocketAddr) -> (Arc<NodeShared>, ElectionLoop) {
     let shared = Arc::new(NodeShared::new(NodeSettings { store, ..settings() }));
-    shared.members.send_modify(|view| view.plan = Some(Arc::new(ShardPlan::whole())));
-    let mut duty = ElectionDuty::new(shared.clone());
+    shared.members.send_modify(|view| view.plan = Some(Arc::new(ShardPlan::undivided())));
+    let mut duty = ElectionLoop::new(shared.clone());
     duty.renew().await;
     assert!(duty.lease.is_some(), "not registered");
     (shared, duty)
 }
 
 /// The lease ends, and the entry registers anew.
-async fn register_anew(store: &EmptyStore, duty: &mut ElectionDuty) {
+async fn register_anew(store: &EmptyStore, duty: &mut ElectionLoop) {
     let before = duty.lease;
     store.end_lease();
     duty.renew().await;
@@ -65,7 +65,7 @@
 async fn a_term_that_was_given_under_a_lease_that_has_ended_is_led() {
     let (store, address) = EmptyStore::start().await;
     let (shared, mut duty) = registered(address).await;
-    let offered = shared.succession.name(whole(), 1);
+    let offered = shared.handover_inbox.name(whole(), 1);
     assert_eq!(offered, duty.lease);
     register_anew(&store, &mut duty).await;
     duty.begin_given(&whole(), LeaderTerm { epoch: 2, epoch_revision: 5, predecessor: None });
@@ -98,7 +98,7 @@
     let (store, address) = EmptyStore::start().await;
     let (shared, mut duty) = registered(address).await;
     let view = shared.members.borrow().clone();
-    duty.stand(&whole(), &view).await;
+    duty.campaign(&whole(), &view).await;
     expect_that!(told_of_unknown(&shared).await, some(eq(&LeaderAnswer::Gone)));
     store.loses_answers.store(true, Ordering::Relaxed);
     assert!(!duty.hand_over().await);
@@ -120,7 +120,7 @@
         QueueConfig { version: 1, queues: Default::default(), pools: Default::default(), limits };
     shared.config.send_replace(Some(Arc::new(config)));
     let view = shared.members.borrow().clone();
-    assert!(duty.may_stand(&whole(), &view));
+    assert!(duty.may_campaign(&whole(), &view));
     let before = store.changes.load(Ordering::Relaxed);
     store.keeps_answers.store(true, Ordering::Relaxed);
     let told = async {
@@ -136,13 +136,13 @@
         store.keeps_answers.store(false, Ordering::Relaxed);
     };
     let shard = whole();
-    tokio::join!(duty.stand(&shard, &view), told);
+    tokio::join!(duty.campaign(&shard, &view), told);
     duty.renew().await;
     duty.renew().await;
     assert!(duty.lease.is_some(), "not registered anew");
     let view = shared.members.borrow().clone();
     duty.follow(&whole(), &view).await;
-    expect_true!(duty.may_stand(&whole(), &view));
+    expect_true!(duty.may_campaign(&whole(), &view));
 }
 
 // The change is sent again on the same condition once the store answers, which settles the term either way.
@@ -152,7 +152,7 @@
     let (store, address) = EmptyStore::start().await;
     let (shared, mut duty) = registered(address).await;
     let view = shared.members.borrow().clone();
-    duty.stand(&whole(), &view).await;
+    duty.campaign(&whole(), &view).await;
     store.loses_answers.store(true, Ordering::Relaxed);
     assert!(!duty.hand_over().await);
     duty.settle_doubts().await;
@@ -171,7 +171,7 @@
     let (store, address) = EmptyStore::start().await;
     let (shared, mut duty) = registered(address).await;
     let view = shared.members.borrow().clone();
-    duty.stand(&whole(), &view).await;
+    duty.campaign(&whole(), &view).await;
     told_of_unknown(&shared).await;
     let leader = shared.leading(&whole()).unwrap();
     leader.send(LeaderInput::Resign).await;
--- a/src/node/succession.rs
+++ b/src/node/handover_inbox.rs
@@ -33,17 +33,17 @@
 
 /// What leaving leaders and this entry tell each other.
 #[derive(Debug, Default)]
-pub(crate) struct SuccessionDesk {
+pub(crate) struct HandoverInbox {
     /// This entry's lease, while it could lead.
     lease: Mutex<Option<LeaseId>>,
     /// Terms for which this entry was named, and until when the word of the leader before is waited for.
     named: Mutex<BTreeMap<ShardId, (LeaderEpoch, Instant)>>,
     /// Terms that were given to it and have not begun.
-    given: Mutex<BTreeMap<ShardId, LeaderTerm>>,
+    term_given: Mutex<BTreeMap<ShardId, LeaderTerm>>,
     news: Notify,
 }
 
-impl SuccessionDesk {
+impl HandoverInbox {
     /// Sets or ends the lease under which this entry could lead.
     pub(crate) fn set_lease(&self, lease: Option<LeaseId>) {
         *lock(&self.lease) = lease;
@@ -57,7 +57,7 @@
     }
 
     /// Whether the word of the leader before is still waited for.
-    pub(crate) fn awaits_word(&self, shard: &ShardId, epoch: LeaderEpoch) -> bool {
+    pub(crate) fn awaits_term(&self, shard: &ShardId, epoch: LeaderEpoch) -> bool {
         let named = lock(&self.named);
         named.get(shard).is_some_and(|(term, until)| *term == epoch && Instant::now() < *until)
     }
@@ -65,17 +65,17 @@
     /// A leader has ended, and the store names this entry for the term after.
     pub(crate) fn give(&self, shard: ShardId, term: LeaderTerm) {
         lock(&self.named).remove(&shard);
-        lock(&self.given).insert(shard, term);
+        lock(&self.term_given).insert(shard, term);
         self.news.notify_one();
     }
 
     /// Takes the terms that were given.
-    pub(crate) fn take_given(&self) -> BTreeMap<ShardId, LeaderTerm> {
-        std::mem::take(&mut *lock(&self.given))
+    pub(crate) fn take_terms(&self) -> BTreeMap<ShardId, LeaderTerm> {
+        std::mem::take(&mut *lock(&self.term_given))
     }
 
     /// Waits for a term to be given.
-    pub(crate) async fn given(&self) {
+    pub(crate) async fn term_given(&self) {
         self.news.notified().await;
     }
 }
--- a/src/node/input.rs
+++ b/src/node/input.rs
@@ -4,8 +4,8 @@
 use tokio::time::Instant;
 
 use crate::graph::{
-    AdviceId, CommandResult, GraphId, GraphRecord, GroupNumber, LeaderEpoch, LifeId, PollResult,
-    RunNumber, ShardId, TaskName, WorkerListing,
+    AdviceId, CommandResult, GraphId, GraphRecord, GroupNumber, InstanceId, LeaderEpoch,
+    PollResult, RunNumber, ShardId, TaskName, WorkerRegistration,
 };
 use crate::id::WorkerId;
 use crate::node::message::{AllowedWorkers, LeaderAnswer, LeaderCall};
@@ -14,10 +14,10 @@
 pub(crate) enum LeaderInput {
     /// A call of an entry, and where its answer goes.
     Call(LeaderCall, oneshot::Sender<LeaderAnswer>),
-    Listed(Box<WorkerListing>),
+    Registered(Box<WorkerRegistration>),
     /// A worker of another shard.
-    ListedElsewhere(ShardId, Box<WorkerListing>),
-    Unlisted(WorkerId),
+    ListedElsewhere(ShardId, Box<WorkerRegistration>),
+    Unregistered(WorkerId),
     /// All registrations have been read once.
     RegistrationsRead,
     /// A share of a job that another shard's leader has accepted.
@@ -27,8 +27,8 @@
     /// A share of a job that was accepted here has failed.
     ShareFailed(GraphId),
     Polled(WorkerId, PollResult),
-    Started(LifeId, TaskName, RunNumber, CommandResult),
-    Stopped(LifeId, TaskName, RunNumber, CommandResult),
+    Started(InstanceId, TaskName, RunNumber, CommandResult),
+    Stopped(InstanceId, TaskName, RunNumber, CommandResult),
     Advised(AdviceId, Option<AllowedWorkers>),
     Stored(GroupNumber, GroupOutcome),
     /// The lease in the store was renewed by a call sent then.
--- a/src/node/lateness.rs
+++ b/src/node/lateness.rs
@@ -19,13 +19,13 @@
 
 /// How late timers are and how much is done meanwhile, smoothed over five timers.
 #[derive(Clone, Debug)]
-pub(crate) struct LatenessRule {
+pub(crate) struct LatenessMonitor {
     lateness: Duration,
     inputs_a_second: f64,
     last: (Instant, u64),
 }
 
-impl LatenessRule {
+impl LatenessMonitor {
     pub(crate) fn new() -> Self {
         Self { lateness: Duration::ZERO, inputs_a_second: 0.0, last: (Instant::now(), 0) }
     }
--- a/src/node/leader.rs
+++ b/src/node/leader.rs
@@ -16,17 +16,17 @@
     GraphAction, GraphController, GraphId, GraphJob, LeaderEpoch, ShardId, ShardScope,
 };
 use crate::id::{CallId, EntryId};
-use crate::node::answer_basis::AnswerBasis;
-use crate::node::calls::CallCarrier;
+use crate::node::action_executor::ActionExecutor;
+use crate::node::answer_condition::AnswerCondition;
 use crate::node::clock::{BootClock, unix_millis};
 use crate::node::input::{GroupOutcome, LeaderInput};
 use crate::node::ledger::{JobLedger, LEDGER_DUTY};
 use crate::node::message::{JobSubmission, LeaderAnswer, LeaderCall};
-use crate::node::notices::NoticeDuty;
+use crate::node::notices::NoticeLoop;
 use crate::node::records::LeaderTerm;
-use crate::node::registry::RegistryDuty;
+use crate::node::registry::RegistryLoop;
 use crate::node::shared::NodeShared;
-use crate::node::state_desk::{StateDesk, StateNews};
+use crate::node::state_queries::{StateQueries, StateUpdate};
 use crate::platform::PAGE_TIME;
 use crate::ring::{RingReceiver, RingSender};
 
@@ -39,7 +39,7 @@
 const MOST_INPUTS: usize = 64;
 
 /// Leads until told to stop or another does.
-pub(crate) struct LeaderDuty {
+pub(crate) struct LeaderLoop {
     shared: Arc<NodeShared>,
     shard: ShardId,
     epoch: LeaderEpoch,
@@ -48,13 +48,13 @@
     sender: RingSender<LeaderInput>,
     input: RingReceiver<LeaderInput>,
     callers: BTreeMap<CallId, oneshot::Sender<LeaderAnswer>>,
-    states: StateDesk,
+    states: StateQueries,
     last_call: CallId,
     /// Whether it is not known if the term has ended: what this leader does not have may have been accepted by the next.
     in_doubt: bool,
 }
 
-impl LeaderDuty {
+impl LeaderLoop {
     pub(crate) fn new(
         shared: Arc<NodeShared>,
         shard: ShardId,
@@ -65,7 +65,7 @@
         let LeaderTerm { epoch, epoch_revision, predecessor } = term;
         let ledger = JobLedger::new(&shared, shard.clone(), epoch, epoch_revision);
         let callers = BTreeMap::new();
-        let states = StateDesk::default();
+        let states = StateQueries::default();
         Self {
             shared,
             shard,
@@ -104,17 +104,17 @@
         let mut controller = GraphController::new(now, unix_millis(), self.epoch, bounds, state)
             .with_scope(scope.clone())
             .awaiting_registrations();
-        let carrier = CallCarrier::new(
+        let carrier = ActionExecutor::new(
             self.shared.clone(),
             self.sender.clone(),
             self.ledger.clone(),
             self.epoch,
         );
         let (shared, sender) = (&self.shared, &self.sender);
-        let registry = RegistryDuty::new(shared.clone(), scope.clone(), sender.clone());
+        let registry = RegistryLoop::new(shared.clone(), scope.clone(), sender.clone());
         let mut followers = vec![tokio::spawn(registry.run())];
         if scope.plan.is_divided() {
-            let notices = NoticeDuty::new(shared.clone(), &self.shard, sender.clone());
+            let notices = NoticeLoop::new(shared.clone(), &self.shard, sender.clone());
             followers.push(tokio::spawn(notices.run()));
         }
         self.shared.set_leading(&self.shard, Some(self.sender.clone()));
@@ -123,7 +123,7 @@
         self.end(controller, &followers);
     }
 
-    async fn lead(&mut self, controller: &mut GraphController, mut carrier: CallCarrier) {
+    async fn lead(&mut self, controller: &mut GraphController, mut carrier: ActionExecutor) {
         let mut clock = BootClock::new();
         let mut members = self.shared.members.subscribe();
         let mut config = self.shared.config.subscribe();
@@ -146,7 +146,7 @@
                 }
                 _ = members.changed() => {
                     let view = members.borrow_and_update().clone();
-                    controller.set_entries(view.helpers(&self.shard).into_iter().collect());
+                    controller.set_entries(view.advice_entries(&self.shard).into_iter().collect());
                     if view.has_ended(&self.predecessor) {
                         controller.note_predecessor_ended(Instant::now());
                     }
@@ -164,11 +164,11 @@
             }
             let begun = Instant::now();
             controller.tick(begun, unix_millis());
-            controller.note_cost(begun.elapsed());
+            controller.note_pass_time(begun.elapsed());
             for action in controller.take_actions() {
                 self.carry_out(&carrier, action);
             }
-            let surely = self.holds(AnswerBasis::Absence, controller, begun);
+            let surely = self.holds(AnswerCondition::Absence, controller, begun);
             self.states.answer(begun, |job| state_news(controller, surely, job));
             if controller.deposed() {
                 warn!(epoch = self.epoch; "a worker has seen a later leader: leadership ends");
@@ -181,7 +181,7 @@
     fn take_inputs(
         &mut self,
         controller: &mut GraphController,
-        carrier: &mut CallCarrier,
+        carrier: &mut ActionExecutor,
         first: LeaderInput,
     ) -> bool {
         let mut next = Some(first);
@@ -203,28 +203,30 @@
     fn take(
         &mut self,
         controller: &mut GraphController,
-        carrier: &mut CallCarrier,
+        carrier: &mut ActionExecutor,
         input: LeaderInput,
     ) -> bool {
         let (now, unix) = (Instant::now(), unix_millis());
         self.shared.note_leader_input();
         match input {
             LeaderInput::Call(call, answer) => self.call(controller, now, call, answer),
-            LeaderInput::Listed(listing) => controller.worker_listed(now, *listing),
-            LeaderInput::ListedElsewhere(shard, listing) => {
-                controller.worker_listed_elsewhere(shard, *listing);
+            LeaderInput::Registered(registration) => {
+                controller.worker_registered(now, *registration)
+            }
+            LeaderInput::ListedElsewhere(shard, registration) => {
+                controller.worker_registered_elsewhere(shard, *registration);
             }
             LeaderInput::Share(record) => controller.take_share(now, *record),
             LeaderInput::ShareEnded(job) => controller.cancel_share(now, unix, &job),
             LeaderInput::ShareFailed(job) => controller.fail_shared(now, unix, &job),
-            LeaderInput::Unlisted(worker) => controller.worker_unlisted(now, &worker),
+            LeaderInput::Unregistered(worker) => controller.worker_unregistered(now, &worker),
             LeaderInput::RegistrationsRead => controller.registrations_read(now),
             LeaderInput::Polled(worker, result) => controller.polled(now, unix, &worker, result),
-            LeaderInput::Started(life, task, run, result) => {
-                controller.started(now, &life, &task, run, result);
+            LeaderInput::Started(instance, task, run, result) => {
+                controller.started(now, &instance, &task, run, result);
             }
-            LeaderInput::Stopped(life, task, run, result) => {
-                controller.stopped(now, &life, &task, run, result);
+            LeaderInput::Stopped(instance, task, run, result) => {
+                controller.stopped(now, &instance, &task, run, result);
             }
             LeaderInput::Advised(id, allowed) => controller.advised(now, id, allowed),
             LeaderInput::Stored(number, GroupOutcome::Stored { taken }) => {
@@ -258,7 +260,7 @@
     }
 
     /// Whether an answer may be given on a basis.
-    fn holds(&self, basis: AnswerBasis, controller: &GraphController, now: Instant) -> bool {
+    fn holds(&self, basis: AnswerCondition, controller: &GraphController, now: Instant) -> bool {
         !self.in_doubt && basis.holds(controller.lease_age(now))
     }
 
@@ -274,14 +276,14 @@
         let lease_age = controller.lease_age(now);
         match call {
             LeaderCall::State(job) => {
-                let surely = self.holds(AnswerBasis::Absence, controller, now);
+                let surely = self.holds(AnswerCondition::Absence, controller, now);
                 let news = state_news(controller, surely, &job);
                 self.states.ask(now, job, news, answer);
             }
             LeaderCall::Reach => {
                 let _ = answer.send(LeaderAnswer::Leading);
             }
-            LeaderCall::Pending(_) if !self.holds(AnswerBasis::Count, controller, now) => {
+            LeaderCall::Pending(_) if !self.holds(AnswerCondition::Count, controller, now) => {
                 let _ = answer.send(LeaderAnswer::NotLeading);
             }
             LeaderCall::Pending(queue) => {
@@ -293,15 +295,15 @@
             }
             LeaderCall::Submit(submission) => {
                 self.callers.insert(id, answer);
-                let JobSubmission { attempt, patience, forced, record } = *submission;
+                let JobSubmission { attempt, caller_timeout, forced, record } = *submission;
                 match forced {
-                    true => controller.submit_here(now, id, attempt, patience, record),
-                    false => controller.submit(now, id, attempt, patience, record),
+                    true => controller.submit_here(now, id, attempt, caller_timeout, record),
+                    false => controller.submit(now, id, attempt, caller_timeout, record),
                 }
             }
             LeaderCall::Cancel(job)
                 if own_job(controller, &job).is_none()
-                    && !self.holds(AnswerBasis::Absence, controller, now) =>
+                    && !self.holds(AnswerCondition::Absence, controller, now) =>
             {
                 let _ = answer.send(LeaderAnswer::NotLeading);
             }
@@ -312,14 +314,14 @@
         }
     }
 
-    fn carry_out(&mut self, carrier: &CallCarrier, action: GraphAction) {
+    fn carry_out(&mut self, carrier: &ActionExecutor, action: GraphAction) {
         match action {
             GraphAction::Answer(call, answer) => {
                 if let Some(caller) = self.callers.remove(&call) {
                     let _ = caller.send(answer.into());
                 }
             }
-            action => carrier.carry(action),
+            action => carrier.execute(action),
         }
     }
 
@@ -351,26 +353,26 @@
             "live": job.live.len(), "durable": job.durable,
         })
     };
-    let worker = |life: &crate::graph::WorkerLife| {
+    let worker = |instance: &crate::graph::WorkerInstance| {
         serde_json::json!({
-            "id": &**life.id(), "born": life.born, "listed": life.listed, "claimed": life.claimed,
-            "runs": life.runs.len(), "free": life.free(), "misses": life.misses,
+            "id": &**instance.id(), "born": instance.instance_start, "listed": instance.registered, "claimed": instance.claimed,
+            "runs": instance.runs.len(), "free": instance.free(), "misses": instance.misses,
         })
     };
     serde_json::json!({
         "epoch": controller.epoch(),
         "jobs": controller.jobs().iter().map(job).collect::<Vec<_>>(),
-        "workers": controller.lives().iter().map(worker).collect::<Vec<_>>(),
+        "workers": controller.instances().iter().map(worker).collect::<Vec<_>>(),
     })
 }
 
 /// What may be told of a job; `surely` tells whether one that this leader does not have is surely gone.
-fn state_news(controller: &GraphController, surely: bool, id: &GraphId) -> StateNews {
+fn state_news(controller: &GraphController, surely: bool, id: &GraphId) -> StateUpdate {
     match own_job(controller, id).filter(|job| job.durable) {
-        Some(job) if job.over() && job.shown.is_none() => StateNews::Ending(job.state()),
-        Some(job) => StateNews::Final(job.state()),
-        None if surely => StateNews::Gone,
-        None => StateNews::Unsure,
+        Some(job) if job.over() && job.stored_verdict.is_none() => StateUpdate::Ending(job.state()),
+        Some(job) => StateUpdate::Final(job.state()),
+        None if surely => StateUpdate::Gone,
+        None => StateUpdate::Unsure,
     }
 }
 
--- a/src/node/leader/tests.rs
+++ b/src/node/leader/tests.rs
@@ -11,9 +11,9 @@
     GraphController, GraphId, GraphProgress, GraphRecord, GraphSpec, GraphState, GraphVerdict,
     LeaderState, QueueId, QueueRule, ShardId, StepSpec,
 };
-use crate::node::calls::CallCarrier;
+use crate::node::action_executor::ActionExecutor;
 use crate::node::input::LeaderInput;
-use crate::node::leader::LeaderDuty;
+use crate::node::leader::LeaderLoop;
 use crate::node::message::{LeaderAnswer, LeaderCall};
 use crate::node::records::LeaderTerm;
 use crate::node::shared::NodeShared;
@@ -49,9 +49,9 @@
 
 /// A leader with a job that waits and one that is completed, whose lease has just been renewed.
 struct TestLeader {
-    duty: LeaderDuty,
+    duty: LeaderLoop,
     controller: GraphController,
-    carrier: CallCarrier,
+    carrier: ActionExecutor,
 }
 
 impl TestLeader {
@@ -60,8 +60,8 @@
         let (sender, receiver) = ring("leader", 16);
         let term = LeaderTerm { epoch: 1, epoch_revision: 1, predecessor: None };
         let duty =
-            LeaderDuty::new(shared.clone(), ShardId::from(""), term, sender.clone(), receiver);
-        let carrier = CallCarrier::new(shared, sender, duty.ledger.clone(), 1);
+            LeaderLoop::new(shared.clone(), ShardId::from(""), term, sender.clone(), receiver);
+        let carrier = ActionExecutor::new(shared, sender, duty.ledger.clone(), 1);
         let over =
             GraphProgress { verdict: Some(GraphVerdict::Completed), ..GraphProgress::default() };
         let jobs = vec![(record(WAITING), GraphProgress::default()), (record(COMPLETED), over)];
--- a/src/node/access.rs
+++ b/src/node/leader_client.rs
@@ -37,7 +37,7 @@
 
 /// Why a call for the leader has no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum AccessFailure {
+pub(crate) enum LeaderCallError {
     /// No leader took it: nothing was done and nothing will be.
     NotTaken,
     /// It may have been carried out.
@@ -55,12 +55,12 @@
 }
 
 /// The way to the leader.
-pub(crate) struct LeaderAccess {
+pub(crate) struct LeaderClient {
     shared: Arc<NodeShared>,
     peers: PeerClient,
 }
 
-impl LeaderAccess {
+impl LeaderClient {
     pub(crate) fn new(shared: Arc<NodeShared>) -> Self {
         Self { shared, peers: PeerClient::new() }
     }
@@ -72,17 +72,17 @@
     pub(crate) async fn submit(
         &self,
         submission: JobSubmission,
-        patience: Duration,
-    ) -> Result<LeaderAnswer, AccessFailure> {
+        caller_timeout: Duration,
+    ) -> Result<LeaderAnswer, LeaderCallError> {
         let begun = Instant::now();
         let job = submission.record.spec.id.clone();
         let mut call = LeaderCall::Submit(Box::new(submission));
-        let plan = self.division(patience).await?;
+        let plan = self.division(caller_timeout).await?;
         let mut shards = VecDeque::from(self.shards_for(&plan, &job));
-        let mut failure = AccessFailure::NotTaken;
+        let mut failure = LeaderCallError::NotTaken;
         let mut rejection = None;
         while let Some(shard) = shards.pop_front() {
-            let left = patience.saturating_sub(begun.elapsed());
+            let left = caller_timeout.saturating_sub(begun.elapsed());
             let last = shards.is_empty();
             let answer = match last {
                 true => self.ask(&shard, &call, left).await,
@@ -97,29 +97,29 @@
                     force(&mut call);
                 }
                 // An earlier try may still be accepted.
-                Ok(LeaderAnswer::Rejected(_)) if failure == AccessFailure::Unknown => break,
+                Ok(LeaderAnswer::Rejected(_)) if failure == LeaderCallError::Unknown => break,
                 // The store answers here: it may turn away that leader's machine only.
                 Ok(LeaderAnswer::Rejected(retry)) if !last && !self.shared.store_is_late() => {
                     rejection = Some(retry);
                 }
                 Ok(answer) => return Ok(answer),
-                Err(AccessFailure::Unknown) => failure = AccessFailure::Unknown,
-                Err(AccessFailure::NotTaken) => {}
+                Err(LeaderCallError::Unknown) => failure = LeaderCallError::Unknown,
+                Err(LeaderCallError::NotTaken) => {}
             }
         }
         match (failure, rejection) {
-            (AccessFailure::NotTaken, Some(retry)) => Ok(LeaderAnswer::Rejected(retry)),
+            (LeaderCallError::NotTaken, Some(retry)) => Ok(LeaderAnswer::Rejected(retry)),
             _ => Err(failure),
         }
     }
 
     /// The division of the workers; while it is not known, waits for it as long as a call waits for a leader.
-    async fn division(&self, patience: Duration) -> Result<Arc<ShardPlan>, AccessFailure> {
+    async fn division(&self, caller_timeout: Duration) -> Result<Arc<ShardPlan>, LeaderCallError> {
         let mut members = self.shared.members.subscribe();
         let known = members.wait_for(|view| view.plan.is_some());
-        match timeout(self.leader_wait().min(patience), known).await {
-            Ok(Ok(view)) => view.plan.clone().ok_or(AccessFailure::NotTaken),
-            Ok(Err(_)) | Err(_) => Err(AccessFailure::NotTaken),
+        match timeout(self.leader_wait().min(caller_timeout), known).await {
+            Ok(Ok(view)) => view.plan.clone().ok_or(LeaderCallError::NotTaken),
+            Ok(Err(_)) | Err(_) => Err(LeaderCallError::NotTaken),
         }
     }
 
@@ -136,7 +136,7 @@
     /// Shards that may take a job, those first whose leaders are known.
     fn shards_for(&self, plan: &ShardPlan, job: &GraphId) -> Vec<ShardId> {
         let view = self.shared.members.borrow();
-        let mut shards = plan.order_for(&self.shared.settings.domain, job);
+        let mut shards = plan.shard_order(&self.shared.settings.domain, job);
         shards.sort_by_key(|shard| view.leaderless(shard));
         shards.truncate(MOST_SHARDS_TRIED);
         shards
@@ -150,38 +150,38 @@
         &self,
         job: &GraphId,
         call: &LeaderCall,
-        patience: Duration,
-    ) -> Result<LeaderAnswer, AccessFailure> {
+        caller_timeout: Duration,
+    ) -> Result<LeaderAnswer, LeaderCallError> {
         let begun = Instant::now();
-        let plan = self.division(patience).await?;
+        let plan = self.division(caller_timeout).await?;
         let near = self.near_shard(&plan, job);
         if !plan.is_divided() {
-            return self.ask(&near, call, patience.saturating_sub(begun.elapsed())).await;
+            return self.ask(&near, call, caller_timeout.saturating_sub(begun.elapsed())).await;
         }
-        let first = self.ask_once(&near, call, patience.min(TRY_TIME)).await;
+        let first = self.ask_once(&near, call, caller_timeout.min(TRY_TIME)).await;
         match first {
             Ok(LeaderAnswer::Gone) | Err(_) => {}
             answer => return answer,
         }
         let answer = match self.indexed_shard(job).await {
             IndexedShard::None => return Ok(LeaderAnswer::Gone),
-            IndexedShard::Unread => return Err(first.err().unwrap_or(AccessFailure::NotTaken)),
+            IndexedShard::Unread => return Err(first.err().unwrap_or(LeaderCallError::NotTaken)),
             IndexedShard::Known(shard) if shard == near && first.is_ok() => first,
             IndexedShard::Known(shard) => {
-                self.ask(&shard, call, patience.saturating_sub(begun.elapsed())).await
+                self.ask(&shard, call, caller_timeout.saturating_sub(begun.elapsed())).await
             }
         };
         match (call, answer) {
             // The store has it: its leader could not read it or has been succeeded. One that is to be cancelled may
             // have ended.
-            (LeaderCall::State(_), Ok(LeaderAnswer::Gone)) => Err(AccessFailure::NotTaken),
+            (LeaderCall::State(_), Ok(LeaderAnswer::Gone)) => Err(LeaderCallError::NotTaken),
             (_, answer) => answer,
         }
     }
 
     /// The shard that most likely has a job that is asked about here.
     fn near_shard(&self, plan: &ShardPlan, job: &GraphId) -> ShardId {
-        let shards = plan.order_for(&self.shared.settings.domain, job);
+        let shards = plan.shard_order(&self.shared.settings.domain, job);
         shards.into_iter().next().unwrap_or_else(|| ShardId::from(""))
     }
 
@@ -198,10 +198,10 @@
 
     /// Counts the jobs of a queue that wait, over all shards; `None` where one cannot be asked or the division is
     /// not known.
-    pub(crate) async fn pending(&self, queue: &QueueId, patience: Duration) -> Option<usize> {
+    pub(crate) async fn pending(&self, queue: &QueueId, caller_timeout: Duration) -> Option<usize> {
         let begun = Instant::now();
-        let shards = self.division(patience).await.ok()?.shards();
-        let left = patience.saturating_sub(begun.elapsed());
+        let shards = self.division(caller_timeout).await.ok()?.shards();
+        let left = caller_timeout.saturating_sub(begun.elapsed());
         let call = LeaderCall::Pending(queue.clone());
         let asked = shards.iter().map(|shard| self.ask(shard, &call, left));
         let answers = futures_util::future::join_all(asked).await;
@@ -224,12 +224,12 @@
         shard: &ShardId,
         call: &LeaderCall,
         time: Duration,
-    ) -> Result<LeaderAnswer, AccessFailure> {
+    ) -> Result<LeaderAnswer, LeaderCallError> {
         match self.try_once(shard, call, time).await {
             Ok(LeaderAnswer::NotLeading) | Err(PeerFailure::NotSent) => {
-                Err(AccessFailure::NotTaken)
+                Err(LeaderCallError::NotTaken)
             }
-            Err(PeerFailure::NoAnswer) => Err(AccessFailure::Unknown),
+            Err(PeerFailure::NoAnswer) => Err(LeaderCallError::Unknown),
             Ok(answer) => Ok(answer),
         }
     }
@@ -240,23 +240,23 @@
         &self,
         shard: &ShardId,
         call: &LeaderCall,
-        patience: Duration,
-    ) -> Result<LeaderAnswer, AccessFailure> {
+        caller_timeout: Duration,
+    ) -> Result<LeaderAnswer, LeaderCallError> {
         let begun = Instant::now();
-        let mut failure = AccessFailure::NotTaken;
+        let mut failure = LeaderCallError::NotTaken;
         loop {
-            let left = patience.saturating_sub(begun.elapsed());
+            let left = caller_timeout.saturating_sub(begun.elapsed());
             if left < LEAST_TIME {
                 return Err(failure);
             }
             match self.ask_once(shard, call, left.min(TRY_TIME)).await {
                 Ok(answer) => return Ok(answer),
-                Err(AccessFailure::NotTaken) => {}
-                Err(AccessFailure::Unknown) => failure = AccessFailure::Unknown,
+                Err(LeaderCallError::NotTaken) => {}
+                Err(LeaderCallError::Unknown) => failure = LeaderCallError::Unknown,
             }
             let limit = match failure {
-                AccessFailure::NotTaken => self.leader_wait().min(patience),
-                AccessFailure::Unknown => patience,
+                LeaderCallError::NotTaken => self.leader_wait().min(caller_timeout),
+                LeaderCallError::Unknown => caller_timeout,
             };
             if begun.elapsed() + TRY_PAUSE >= limit {
                 return Err(failure);
--- a/src/node/access_tests.rs
+++ b/src/node/leader_client_tests.rs
@@ -10,8 +10,8 @@
 use tokio::time::{Instant, sleep};
 
 use crate::graph::{GraphId, GraphRecord, QueueRule, ShardPlan};
-use crate::node::access::{AccessFailure, LeaderAccess};
 use crate::node::input::LeaderInput;
+use crate::node::leader_client::{LeaderCallError, LeaderClient};
 use crate::node::message::{JobSubmission, LeaderAnswer, LeaderCall};
 use crate::node::settings::NodeSettings;
 use crate::node::shared::NodeShared;
@@ -24,7 +24,7 @@
 /// Key of the index that names its shard.
 const INDEX_KEY: &str = "i/0123456789abcdef";
 /// How long callers wait.
-const PATIENCE: Duration = Duration::from_millis(3_000);
+const CALLER_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// How long an entry that has heard the store once waits for more: then it takes itself for cut off.
 const REACH_SILENCE: Duration = Duration::from_millis(1_000);
 
@@ -34,8 +34,8 @@
 }
 
 /// The way to leaders of an entry that has heard nothing since its start.
-fn access(settings: NodeSettings) -> LeaderAccess {
-    LeaderAccess::new(entry(settings))
+fn access(settings: NodeSettings) -> LeaderClient {
+    LeaderClient::new(entry(settings))
 }
 
 /// A submission of a job of one task.
@@ -54,7 +54,7 @@
     let body = br#"{"steps": [{"count": 1}]}"#;
     let spec = decode_job(&rule.id, JOB, body, 0).unwrap();
     let record = GraphRecord { spec, rule, home: None, share: None };
-    JobSubmission { attempt: 1, patience: PATIENCE, forced: false, record }
+    JobSubmission { attempt: 1, caller_timeout: CALLER_TIMEOUT, forced: false, record }
 }
 
 /// Serves a store that has one key at most, with its value as it goes over the wire.
@@ -84,11 +84,11 @@
 }
 
 /// The way to leaders of an entry of a divided deployment whose store has such an index of [`JOB`].
-async fn indexed(value: &'static str) -> (Arc<NodeShared>, LeaderAccess) {
+async fn indexed(value: &'static str) -> (Arc<NodeShared>, LeaderClient) {
     let store = serve_store(Some((INDEX_KEY, value))).await;
     let shared = Arc::new(NodeShared::new(NodeSettings { store, ..settings() }));
     shared.members.send_modify(|view| view.plan = divided(&[]).plan);
-    (shared.clone(), LeaderAccess::new(shared))
+    (shared.clone(), LeaderClient::new(shared))
 }
 
 // The sum over no shard was told as the number of jobs that wait.
@@ -96,12 +96,12 @@
 #[tokio::test(start_paused = true)]
 async fn a_queue_is_not_counted_as_empty_before_the_division_is_known() {
     let begun = Instant::now();
-    let pending = access(settings()).pending(&"q".into(), PATIENCE).await;
+    let pending = access(settings()).pending(&"q".into(), CALLER_TIMEOUT).await;
     expect_that!(pending, none());
     expect_that!(begun.elapsed(), eq(Duration::ZERO));
     let shared = entry(settings());
     shared.note_store("election");
-    expect_that!(LeaderAccess::new(shared).pending(&"q".into(), PATIENCE).await, none());
+    expect_that!(LeaderClient::new(shared).pending(&"q".into(), CALLER_TIMEOUT).await, none());
 }
 
 // The record of a job in a shard was looked for where an undivided deployment keeps it.
@@ -118,11 +118,11 @@
     let begun = Instant::now();
     let job = GraphId::from(JOB);
     for call in [LeaderCall::State(job.clone()), LeaderCall::Cancel(job.clone())] {
-        let answer = access(settings()).ask_owner(&job, &call, PATIENCE).await;
-        expect_that!(answer, err(eq(&AccessFailure::NotTaken)));
+        let answer = access(settings()).ask_owner(&job, &call, CALLER_TIMEOUT).await;
+        expect_that!(answer, err(eq(&LeaderCallError::NotTaken)));
     }
-    let answer = access(settings()).submit(submission(), PATIENCE).await;
-    expect_that!(answer, err(eq(&AccessFailure::NotTaken)));
+    let answer = access(settings()).submit(submission(), CALLER_TIMEOUT).await;
+    expect_that!(answer, err(eq(&LeaderCallError::NotTaken)));
     expect_that!(begun.elapsed(), eq(Duration::ZERO));
 }
 
@@ -140,14 +140,14 @@
             answer.send(LeaderAnswer::Accepted).unwrap();
         }
     });
-    let access = LeaderAccess::new(shared.clone());
+    let access = LeaderClient::new(shared.clone());
     let read = async {
         sleep(REACH_SILENCE / 2).await;
         let domains = [("a".into(), 1), ("b".into(), 1)].into();
         let plan = Arc::new(ShardPlan::by_domain(domains));
         shared.members.send_modify(|view| view.plan = Some(plan));
     };
-    let (answer, ()) = tokio::join!(access.submit(submission(), PATIENCE), read);
+    let (answer, ()) = tokio::join!(access.submit(submission(), CALLER_TIMEOUT), read);
     expect_that!(answer, ok(eq(&LeaderAnswer::Accepted)));
 }
 
@@ -176,9 +176,9 @@
         }
     });
     let job = GraphId::from(JOB);
-    let answer = access.ask_owner(&job, &LeaderCall::State(job.clone()), PATIENCE).await;
-    expect_that!(answer, err(eq(&AccessFailure::NotTaken)));
+    let answer = access.ask_owner(&job, &LeaderCall::State(job.clone()), CALLER_TIMEOUT).await;
+    expect_that!(answer, err(eq(&LeaderCallError::NotTaken)));
     // The leader tells the same of one that has ended, which cannot be cancelled.
-    let answer = access.ask_owner(&job, &LeaderCall::Cancel(job.clone()), PATIENCE).await;
+    let answer = access.ask_owner(&job, &LeaderCall::Cancel(job.clone()), CALLER_TIMEOUT).await;
     expect_that!(answer, ok(eq(&LeaderAnswer::Gone)));
 }
--- a/src/node/ledger.rs
+++ b/src/node/ledger.rs
@@ -39,7 +39,7 @@
 
 /// What the conditions of a leader's groups stand on.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct LedgerStand {
+pub(crate) struct LedgerHead {
     pub(crate) epoch: LeaderEpoch,
     pub(crate) epoch_revision: u64,
     /// Revision of the last group's key; 0 before the first.
@@ -64,7 +64,7 @@
     keys: ShardKeys,
     store: PlatformStore,
     tries: DependencyLog,
-    stand: Arc<Mutex<LedgerStand>>,
+    head: Arc<Mutex<LedgerHead>>,
 }
 
 impl JobLedger {
@@ -74,25 +74,25 @@
         epoch: LeaderEpoch,
         epoch_revision: u64,
     ) -> Self {
-        let stand = LedgerStand { epoch, epoch_revision, group_revision: 0 };
+        let head = LedgerHead { epoch, epoch_revision, group_revision: 0 };
         let (store, tries) = (shared.store.clone(), shared.dependencies.store.clone());
-        Self { keys: ShardKeys { shard }, store, tries, stand: Arc::new(Mutex::new(stand)) }
+        Self { keys: ShardKeys { shard }, store, tries, head: Arc::new(Mutex::new(head)) }
     }
 
     /// The same leader goes on under a later epoch.
     pub(crate) fn renew(&self, epoch: LeaderEpoch, epoch_revision: u64) {
-        self.change(|stand| {
-            stand.epoch = epoch;
-            stand.epoch_revision = epoch_revision;
+        self.change(|head| {
+            head.epoch = epoch;
+            head.epoch_revision = epoch_revision;
         });
     }
 
-    fn stand(&self) -> LedgerStand {
-        *self.stand.lock().unwrap_or_else(PoisonError::into_inner)
+    fn head(&self) -> LedgerHead {
+        *self.head.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn change(&self, change: impl FnOnce(&mut LedgerStand)) {
-        change(&mut self.stand.lock().unwrap_or_else(PoisonError::into_inner));
+    fn change(&self, change: impl FnOnce(&mut LedgerHead)) {
+        change(&mut self.head.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
     /// Reads everything. Nobody else can write below the epoch that this leader was given, so the
@@ -112,7 +112,7 @@
         .await;
         self.tries.tried(LEDGER_DUTY, &read);
         let (group, workers, records, progress) = read?;
-        self.change(|stand| stand.group_revision = group.map_or(0, |item| item.revision));
+        self.change(|head| head.group_revision = group.map_or(0, |item| item.revision));
         let workers = workers.map_or_else(|| Some(Vec::new()), |item| decode(&item));
         let jobs = join(records, progress);
         info!(jobs = jobs.len(), took_ms = begun.elapsed().as_millis() as u64; "ledger read");
@@ -147,24 +147,24 @@
     /// still does, the next finds the group's own id in the store.
     pub(crate) async fn store(&self, group: &CommitGroup) -> GroupOutcome {
         let begun = Instant::now();
-        let stand = self.stand();
-        let id = format!("{}:{}", stand.epoch, group.number);
+        let head = self.head();
+        let id = format!("{}:{}", head.epoch, group.number);
         let (mut sets, removes) = self.keys.changes(&id, group);
         let mut added = self.keys.indexed(group);
         let mut taken = Vec::new();
         let mut sure = true;
         let outcome = loop {
-            let stand = self.stand();
-            let conditions = self.keys.conditions(stand, &added);
+            let head = self.head();
+            let conditions = self.keys.conditions(head, &added);
             let change =
                 KeyTransaction { conditions, sets: sets.clone(), removes: removes.clone() };
             match self.sent(&id, &change).await {
                 Ok(TransactionOutcome::Done(revision)) => {
-                    self.change(|stand| stand.group_revision = revision);
+                    self.change(|head| head.group_revision = revision);
                     break GroupOutcome::Stored { taken };
                 }
                 Ok(TransactionOutcome::Conflict(items)) => {
-                    match self.conflict(&id, stand, &items, &added) {
+                    match self.conflict(&id, head, &items, &added) {
                         GroupConflict::Stored => break GroupOutcome::Stored { taken },
                         GroupConflict::Deposed => break GroupOutcome::Deposed,
                         GroupConflict::Renewed => sleep(RETRY_PAUSE).await,
@@ -212,7 +212,7 @@
     fn conflict(
         &self,
         id: &str,
-        stand: LedgerStand,
+        head: LedgerHead,
         items: &[KeyItem],
         added: &[GraphId],
     ) -> GroupConflict {
@@ -221,12 +221,12 @@
         if let Some(item) = group
             && item.value == id.as_bytes()
         {
-            self.change(|stand| stand.group_revision = item.revision);
+            self.change(|head| head.group_revision = item.revision);
             return GroupConflict::Stored;
         }
         let epoch = items.iter().find(|item| item.key == epoch_key).map(|item| item.revision);
-        let current = self.stand();
-        let renewed = current != stand || epoch == Some(current.epoch_revision);
+        let current = self.head();
+        let renewed = current != head || epoch == Some(current.epoch_revision);
         let same_group = group.map_or(0, |item| item.revision) == current.group_revision;
         let known = |job: &&GraphId| items.iter().any(|item| item.key == index_key(job));
         let taken: Vec<GraphId> = added.iter().filter(known).cloned().collect();
@@ -235,7 +235,7 @@
             // What stands in the index keeps any earlier send of the whole group from taking effect.
             true => GroupConflict::Taken(taken),
             false => {
-                warn!(group = id, epoch = stand.epoch; "a group was refused: another leads");
+                warn!(group = id, epoch = head.epoch; "a group was refused: another leads");
                 GroupConflict::Deposed
             }
         }
--- a/src/node/ledger/shard_keys.rs
+++ b/src/node/ledger/shard_keys.rs
@@ -6,7 +6,7 @@
 
 use crate::graph::{CommitGroup, GraphId, GraphRecord, NoticeKind, ShardId};
 use crate::node::keys::{KeySet, epoch_key, sharded};
-use crate::node::ledger::LedgerStand;
+use crate::node::ledger::LedgerHead;
 use crate::node::notices::notice_key;
 
 /// Start of the keys of jobs as they were submitted.
@@ -61,10 +61,10 @@
 
 impl ShardKeys {
     /// What must hold for a group: the leader's epoch, the group before, and jobs that no shard has.
-    pub(super) fn conditions(&self, stand: LedgerStand, added: &[GraphId]) -> Vec<(String, u64)> {
+    pub(super) fn conditions(&self, head: LedgerHead, added: &[GraphId]) -> Vec<(String, u64)> {
         let mut conditions = vec![
-            (epoch_key(&self.shard), stand.epoch_revision),
-            (self.group(), stand.group_revision),
+            (epoch_key(&self.shard), head.epoch_revision),
+            (self.group(), head.group_revision),
         ];
         conditions.extend(added.iter().map(|job| (index_key(job), 0)));
         conditions
--- a/src/node/members.rs
+++ b/src/node/members.rs
@@ -24,11 +24,11 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Follows the members in the store.
-pub(crate) struct MemberDuty {
+pub(crate) struct MembershipLoop {
     shared: Arc<NodeShared>,
 }
 
-impl MemberDuty {
+impl MembershipLoop {
     pub(crate) fn new(shared: Arc<NodeShared>) -> Self {
         Self { shared }
     }
--- a/src/node/members_tests.rs
+++ b/src/node/members_tests.rs
@@ -11,7 +11,7 @@
 use crate::graph::{LeaderEpoch, ShardId};
 use crate::id::EntryId;
 use crate::node::keys::{KeyItem, epoch_key, leader_key};
-use crate::node::members::{MemberDuty, removed, written};
+use crate::node::members::{MembershipLoop, removed, written};
 use crate::node::records::{EpochRecord, LeaderRecord};
 use crate::node::settings::NodeSettings;
 use crate::node::shared::NodeShared;
@@ -58,7 +58,7 @@
 #[tokio::test]
 async fn a_division_on_a_later_page_is_known() {
     let shared = shared(FIRST_PAGE, DIVISION_PAGE).await;
-    let revision = MemberDuty::new(shared.clone()).read().await;
+    let revision = MembershipLoop::new(shared.clone()).read().await;
     expect_that!(shared.members.borrow().plan, eq(&divided(&[]).plan));
     // What has changed since the first page comes with the watch.
     expect_that!(revision.ok(), some(eq(7)));
@@ -70,7 +70,7 @@
 async fn a_division_that_was_known_stays_so() {
     let shared = shared(UNREADABLE_PAGE, "").await;
     shared.members.send_modify(|view| view.plan = divided(&[]).plan);
-    expect_that!(MemberDuty::new(shared.clone()).read().await.ok(), some(eq(9)));
+    expect_that!(MembershipLoop::new(shared.clone()).read().await.ok(), some(eq(9)));
     expect_that!(shared.members.borrow().plan, eq(&divided(&[]).plan));
 }
 
--- a/src/node/notices.rs
+++ b/src/node/notices.rs
@@ -38,13 +38,13 @@
 }
 
 /// Follows notices in the store.
-pub(crate) struct NoticeDuty {
+pub(crate) struct NoticeLoop {
     shared: Arc<NodeShared>,
     prefix: String,
     leader: RingSender<LeaderInput>,
 }
 
-impl NoticeDuty {
+impl NoticeLoop {
     pub(crate) fn new(
         shared: Arc<NodeShared>,
         shard: &ShardId,
--- a/src/node/peer_service.rs
+++ b/src/node/peer_service.rs
@@ -11,6 +11,7 @@
 
 use crate::graph::{GraphId, LeaderEpoch, ShardId, StepKey};
 use crate::id::WorkerId;
+use crate::node::handover_inbox::SuccessorOffer;
 use crate::node::message::{
     ADVISE_METHOD, ASK_METHOD, AllowedWorkers, CALL_BYTES, GIVE_METHOD, LeaderAnswer, LeaderCall,
     OFFER_METHOD,
@@ -18,7 +19,6 @@
 use crate::node::own_leader::ask_here;
 use crate::node::records::LeaderTerm;
 use crate::node::shared::NodeShared;
-use crate::node::succession::SuccessorOffer;
 
 type Result<T> = std::result::Result<T, ErrorObjectOwned>;
 
@@ -60,7 +60,7 @@
     module.register_async_method(GIVE_METHOD, |params, shared, _| async move {
         let (shard, term): (ShardId, LeaderTerm) = params.parse()?;
         info!(shard = &*shard, epoch = term.epoch; "leadership is given to this entry");
-        shared.succession.give(shard, term);
+        shared.handover_inbox.give(shard, term);
         Ok::<_, ErrorObjectOwned>(true)
     })?;
     Ok(module)
@@ -92,7 +92,7 @@
     {
         return None;
     }
-    let lease = shared.succession.name(shard, epoch)?;
+    let lease = shared.handover_inbox.name(shard, epoch)?;
     let settings = &shared.settings;
     let (entry, address) = (settings.name.clone(), settings.peers);
     Some(SuccessorOffer { entry, address, start: shared.start, lease })
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -16,12 +16,12 @@
 use crate::client::{ClientError, HttpClient, count_payload};
 use crate::graph::{GraphId, LeaderEpoch, ShardId, StepKey};
 use crate::id::WorkerId;
+use crate::node::handover_inbox::SuccessorOffer;
 use crate::node::message::{
     ADVISE_METHOD, ASK_METHOD, AllowedWorkers, CALL_BYTES, GIVE_METHOD, LeaderAnswer, LeaderCall,
     OFFER_METHOD,
 };
 use crate::node::records::LeaderTerm;
-use crate::node::succession::SuccessorOffer;
 
 type Result<T> = std::result::Result<T, PeerFailure>;
 
--- a/src/node/probe.rs
+++ b/src/node/probe.rs
@@ -25,14 +25,14 @@
 
 /// Shared by all probes.
 #[derive(Clone)]
-pub(crate) struct ProbeDesk {
+pub(crate) struct ProbeHandler {
     pub(crate) shared: Arc<NodeShared>,
     pub(crate) metrics: PrometheusHandle,
 }
 
-impl std::panic::UnwindSafe for ProbeDesk {}
-impl std::panic::RefUnwindSafe for ProbeDesk {}
-impl StateData for ProbeDesk {}
+impl std::panic::UnwindSafe for ProbeHandler {}
+impl std::panic::RefUnwindSafe for ProbeHandler {}
+impl StateData for ProbeHandler {}
 
 /// Routes of the balancer's probe.
 pub(crate) fn ready_routes() -> Router {
@@ -49,7 +49,7 @@
 
 fn ready(state: State) -> Pin<Box<HandlerFuture>> {
     Box::pin(async move {
-        let desk = ProbeDesk::borrow_from(&state);
+        let desk = ProbeHandler::borrow_from(&state);
         let mut response = Response::new(full(""));
         if !desk.shared.ready() {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
@@ -60,14 +60,14 @@
 
 fn metrics(state: State) -> Pin<Box<HandlerFuture>> {
     Box::pin(async move {
-        let text = ProbeDesk::borrow_from(&state).metrics.render();
+        let text = ProbeHandler::borrow_from(&state).metrics.render();
         Ok((state, Response::new(full(text))))
     })
 }
 
 fn dump(state: State) -> Pin<Box<HandlerFuture>> {
     Box::pin(async move {
-        let shared = ProbeDesk::borrow_from(&state).shared.clone();
+        let shared = ProbeHandler::borrow_from(&state).shared.clone();
         let mut leading = BTreeMap::new();
         for shard in shared.led_shards() {
             let Some(input) = shared.leading(&shard) else {
--- a/src/node/process.rs
+++ b/src/node/process.rs
@@ -18,15 +18,15 @@
 use tokio::time::{sleep, timeout};
 
 use crate::http::{ListenerLimits, PrepareState, bind, serve_http};
-use crate::node::callers::{CallerDesk, caller_routes};
-use crate::node::configuration::ConfigDuty;
-use crate::node::division::DivisionDuty;
-use crate::node::election::ElectionDuty;
-use crate::node::members::MemberDuty;
+use crate::node::callers::{CallerHandler, caller_routes};
+use crate::node::configuration::ConfigLoop;
+use crate::node::election::ElectionLoop;
+use crate::node::members::MembershipLoop;
 use crate::node::peer_service::serve_peers;
-use crate::node::probe::{ProbeDesk, metric_routes, ready_routes};
-use crate::node::reach::ReachDuty;
+use crate::node::probe::{ProbeHandler, metric_routes, ready_routes};
+use crate::node::reachability::ReachabilityLoop;
 use crate::node::settings::NodeSettings;
+use crate::node::shard_plan::ShardPlanLoop;
 use crate::node::shared::NodeShared;
 
 /// Part of the grace period in which a leaving entry still takes connections: the balancer notices
@@ -75,7 +75,7 @@
             callers:% = settings.callers, store:% = settings.store; "started"
         );
         let peers = serve_peers(self.shared.clone()).context("peers")?;
-        let probe = ProbeDesk { shared: self.shared.clone(), metrics: self.metrics.clone() };
+        let probe = ProbeHandler { shared: self.shared.clone(), metrics: self.metrics.clone() };
         let probe: PrepareState = Arc::new(move |state| state.put(probe.clone()));
         let (stop_probe, probe_stopped) = watch::channel(false);
         let limits = ListenerLimits::default();
@@ -83,7 +83,7 @@
             .context("ready")?;
         self.listen(settings.metrics, limits, metric_routes(), probe, probe_stopped)
             .context("metrics")?;
-        let desk = CallerDesk::new(self.shared.clone());
+        let desk = CallerHandler::new(self.shared.clone());
         let desk: PrepareState = Arc::new(move |state| state.put(desk.clone()));
         let (stop_callers, callers_stopped) = watch::channel(false);
         let limits = ListenerLimits {
@@ -94,12 +94,12 @@
         let callers = self
             .listen(settings.callers, limits, caller_routes(), desk, callers_stopped)
             .context("callers")?;
-        tokio::spawn(ConfigDuty::new(self.shared.clone()).run());
-        tokio::spawn(MemberDuty::new(self.shared.clone()).run());
+        tokio::spawn(ConfigLoop::new(self.shared.clone()).run());
+        tokio::spawn(MembershipLoop::new(self.shared.clone()).run());
         tokio::spawn(self.shared.dependencies.clone().run());
-        tokio::spawn(DivisionDuty::new(self.shared.clone()).run());
-        tokio::spawn(ReachDuty::new(self.shared.clone()).run());
-        let election = tokio::spawn(ElectionDuty::new(self.shared.clone()).run());
+        tokio::spawn(ShardPlanLoop::new(self.shared.clone()).run());
+        tokio::spawn(ReachabilityLoop::new(self.shared.clone()).run());
+        let election = tokio::spawn(ElectionLoop::new(self.shared.clone()).run());
         wait_for_stop().await?;
         self.drain(stop_callers, callers, election).await;
         let _ = stop_probe.send(true);
--- a/src/node/reach.rs
+++ b/src/node/reachability.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 
 use crate::graph::ShardId;
-use crate::node::access::{note_leader, note_no_leader};
+use crate::node::leader_client::{note_leader, note_no_leader};
 use crate::node::message::{LeaderAnswer, LeaderCall};
 use crate::node::peers::PeerClient;
 use crate::node::records::LeaderRecord;
@@ -23,13 +23,13 @@
 const ANSWER_TIME: Duration = Duration::from_millis(250);
 
 /// Asks other entries while the store does not answer.
-pub(crate) struct ReachDuty {
+pub(crate) struct ReachabilityLoop {
     shared: Arc<NodeShared>,
     peers: PeerClient,
     reached: bool,
 }
 
-impl ReachDuty {
+impl ReachabilityLoop {
     pub(crate) fn new(shared: Arc<NodeShared>) -> Self {
         Self { shared, peers: PeerClient::new(), reached: true }
     }
--- a/src/node/registry.rs
+++ b/src/node/registry.rs
@@ -26,7 +26,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Follows registrations in the store.
-pub(crate) struct RegistryDuty {
+pub(crate) struct RegistryLoop {
     shared: Arc<NodeShared>,
     scope: ShardScope,
     leader: RingSender<LeaderInput>,
@@ -35,7 +35,7 @@
     refused: BTreeSet<String>,
 }
 
-impl RegistryDuty {
+impl RegistryLoop {
     pub(crate) fn new(
         shared: Arc<NodeShared>,
         scope: ShardScope,
@@ -113,14 +113,14 @@
 
     async fn written(&mut self, item: &KeyItem) -> Option<WorkerId> {
         match decode_registration(item) {
-            Ok(listing) => {
-                let id = listing.id.clone();
+            Ok(registration) => {
+                let id = registration.id.clone();
                 self.refused.remove(&item.key);
                 self.known.insert(id.clone());
-                let shard = self.scope.plan.shard_of(&listing.domain, &listing.rack);
+                let shard = self.scope.plan.shard_of(&registration.domain, &registration.rack);
                 let input = match shard == self.scope.shard {
-                    true => LeaderInput::Listed(Box::new(listing)),
-                    false => LeaderInput::ListedElsewhere(shard, Box::new(listing)),
+                    true => LeaderInput::Registered(Box::new(registration)),
+                    false => LeaderInput::ListedElsewhere(shard, Box::new(registration)),
                 };
                 self.leader.send(input).await;
                 Some(id)
@@ -146,6 +146,6 @@
 
     async fn removed(&mut self, worker: WorkerId) {
         self.known.remove(&worker);
-        self.leader.send(LeaderInput::Unlisted(worker)).await;
+        self.leader.send(LeaderInput::Unregistered(worker)).await;
     }
 }
--- a/src/node/division.rs
+++ b/src/node/shard_plan.rs
@@ -25,11 +25,11 @@
 const PROPOSERS: u32 = 3;
 
 /// Proposes a division until there is one.
-pub(crate) struct DivisionDuty {
+pub(crate) struct ShardPlanLoop {
     shared: Arc<NodeShared>,
 }
 
-impl DivisionDuty {
+impl ShardPlanLoop {
     pub(crate) fn new(shared: Arc<NodeShared>) -> Self {
         Self { shared }
     }
@@ -69,8 +69,9 @@
         loop {
             let page = self.shared.store.page(REGISTRATION_PREFIX, &after).await?;
             // Entries that name no worker are logged by the leader.
-            for listing in page.items.iter().filter_map(|item| decode_registration(item).ok()) {
-                *workers.entry(listing.domain).or_default() += 1;
+            for registration in page.items.iter().filter_map(|item| decode_registration(item).ok())
+            {
+                *workers.entry(registration.domain).or_default() += 1;
             }
             match page.items.last() {
                 Some(last) if page.more => after = last.key.clone(),
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -10,9 +10,9 @@
 
 use crate::graph::{QueueConfig, ShardId};
 use crate::node::dependency::NodeDependencies;
+use crate::node::handover_inbox::HandoverInbox;
 use crate::node::input::LeaderInput;
 use crate::node::settings::NodeSettings;
-use crate::node::succession::SuccessionDesk;
 use crate::node::view::MemberView;
 use crate::platform::{AdvisorClient, PlatformStore};
 use crate::ring::RingSender;
@@ -44,7 +44,7 @@
     pub(crate) members: watch::Sender<MemberView>,
     pub(crate) draining: watch::Sender<bool>,
     /// Leadership that leaving leaders give to this entry.
-    pub(crate) succession: SuccessionDesk,
+    pub(crate) handover_inbox: HandoverInbox,
     /// Inputs that leaders of this process have taken.
     leader_inputs: AtomicU64,
     leading: Mutex<BTreeMap<ShardId, RingSender<LeaderInput>>>,
@@ -64,7 +64,7 @@
             config: watch::Sender::new(None),
             members: watch::Sender::new(MemberView::default()),
             draining: watch::Sender::new(false),
-            succession: SuccessionDesk::default(),
+            handover_inbox: HandoverInbox::default(),
             leader_inputs: AtomicU64::new(0),
             leading: Mutex::new(BTreeMap::new()),
             store_answered: Mutex::new(None),
--- a/src/node/state_desk.rs
+++ b/src/node/state_queries.rs
@@ -14,7 +14,7 @@
 
 /// What may be told of a job now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum StateNews {
+pub(crate) enum StateUpdate {
     /// This is the state.
     Final(GraphState),
     /// It has ended, and the store does not have that yet.
@@ -25,7 +25,7 @@
     Unsure,
 }
 
-struct StateQuestion {
+struct StateQuery {
     job: GraphId,
     until: Instant,
     answer: oneshot::Sender<LeaderAnswer>,
@@ -33,43 +33,43 @@
 
 /// Questions that wait.
 #[derive(Default)]
-pub(crate) struct StateDesk {
-    questions: Vec<StateQuestion>,
+pub(crate) struct StateQueries {
+    questions: Vec<StateQuery>,
 }
 
-impl StateDesk {
+impl StateQueries {
     /// Answers at once where the state is final for now, or else once the store has the verdict.
     pub(crate) fn ask(
         &mut self,
         now: Instant,
         job: GraphId,
-        news: StateNews,
+        news: StateUpdate,
         answer: oneshot::Sender<LeaderAnswer>,
     ) {
         match news {
-            StateNews::Ending(_) => {
-                self.questions.push(StateQuestion { job, until: now + STATE_WAIT, answer });
+            StateUpdate::Ending(_) => {
+                self.questions.push(StateQuery { job, until: now + STATE_WAIT, answer });
             }
             news => tell(answer, news),
         }
     }
 
     /// Answers questions whose time has come.
-    pub(crate) fn answer(&mut self, now: Instant, news: impl Fn(&GraphId) -> StateNews) {
+    pub(crate) fn answer(&mut self, now: Instant, news: impl Fn(&GraphId) -> StateUpdate) {
         for question in std::mem::take(&mut self.questions) {
             match news(&question.job) {
-                StateNews::Ending(_) if now < question.until => self.questions.push(question),
+                StateUpdate::Ending(_) if now < question.until => self.questions.push(question),
                 news => tell(question.answer, news),
             }
         }
     }
 }
 
-fn tell(answer: oneshot::Sender<LeaderAnswer>, news: StateNews) {
+fn tell(answer: oneshot::Sender<LeaderAnswer>, news: StateUpdate) {
     let told = match news {
-        StateNews::Final(state) | StateNews::Ending(state) => LeaderAnswer::State(state),
-        StateNews::Gone => LeaderAnswer::Gone,
-        StateNews::Unsure => LeaderAnswer::NotLeading,
+        StateUpdate::Final(state) | StateUpdate::Ending(state) => LeaderAnswer::State(state),
+        StateUpdate::Gone => LeaderAnswer::Gone,
+        StateUpdate::Unsure => LeaderAnswer::NotLeading,
     };
     let _ = answer.send(told);
 }
--- a/src/node/takeover_tests.rs
+++ b/src/node/takeover_tests.rs
@@ -7,8 +7,8 @@
 use tokio::time::sleep;
 
 use crate::graph::{ShardId, ShardPlan};
-use crate::node::candidacy::{Candidacy, Standing};
-use crate::node::election::ElectionDuty;
+use crate::node::candidacy::{Candidacy, CandidacyState};
+use crate::node::election::ElectionLoop;
 use crate::node::peer_service::offer_here;
 use crate::node::records::{EntryRecord, LeaderRecord, LeaderTerm};
 use crate::node::shared::NodeShared;
@@ -38,7 +38,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_entry_offers_to_lead_once_it_knows_the_division() {
     let shared = unread();
-    shared.succession.set_lease(Some(3));
+    shared.handover_inbox.set_lease(Some(3));
     expect_that!(offer_here(&shared, shard(), 1), none());
     shared.members.send_modify(|view| view.plan = plan());
     expect_that!(offer_here(&shared, shard(), 1), some(anything()));
@@ -49,8 +49,8 @@
 async fn a_term_that_is_given_begins_once_the_division_is_known() {
     let shared = unread();
     let term = LeaderTerm { epoch: 2, epoch_revision: 9, predecessor: None };
-    shared.succession.give(shard(), term);
-    tokio::spawn(ElectionDuty::new(shared.clone()).run());
+    shared.handover_inbox.give(shard(), term);
+    tokio::spawn(ElectionLoop::new(shared.clone()).run());
     sleep(Duration::from_millis(500)).await;
     expect_that!(shared.members.borrow().shard(&shard()).epoch, eq(0));
     shared.members.send_modify(|view| view.plan = plan());
@@ -87,7 +87,7 @@
         known: true,
         ..MemberView::default()
     };
-    let Standing::Won(term) = candidacy.standing(&view, true) else {
+    let CandidacyState::Won(term) = candidacy.standing(&view, true) else {
         return fail!("the entry does not lead");
     };
     expect_false!(view.has_ended(&term.predecessor));
--- a/src/node/tests.rs
+++ b/src/node/tests.rs
@@ -12,19 +12,19 @@
     GraphBounds, GraphId, GraphState, QueueConfig, RequestLimits, ShardId, ShardPlan,
 };
 use crate::node::KeyItem;
-use crate::node::candidacy::{Candidacy, Standing};
-use crate::node::dependency::{DependencyLine, DependencyRule, DutyRhythm};
+use crate::node::candidacy::{Candidacy, CandidacyState};
+use crate::node::dependency::{DependencyEvent, DependencyMonitor, RetryMode};
 use crate::node::election::handover::succession_change;
+use crate::node::handover_inbox::SuccessorOffer;
 use crate::node::keys::{ENTRY_PREFIX, epoch_key, leader_key};
-use crate::node::lateness::LatenessRule;
+use crate::node::lateness::LatenessMonitor;
 use crate::node::members::written;
 use crate::node::message::{LeaderAnswer, LeaderCall};
 use crate::node::own_leader::ask_here;
 use crate::node::records::{EntryRecord, EpochRecord, LeaderRecord};
 use crate::node::settings::NodeSettings;
 use crate::node::shared::NodeShared;
-use crate::node::state_desk::{StateDesk, StateNews};
-use crate::node::succession::SuccessorOffer;
+use crate::node::state_queries::{StateQueries, StateUpdate};
 use crate::node::view::{MemberView, ShardView};
 use crate::ring::ring;
 
@@ -50,8 +50,8 @@
         grace: Duration::from_secs(6),
         bounds: GraphBounds {
             longest_lease: Duration::from_secs(6),
-            remembered: Duration::from_secs(120),
-            blind: Duration::from_secs(5),
+            retention: Duration::from_secs(120),
+            lease_extension_window: Duration::from_secs(5),
         },
     }
 }
@@ -70,7 +70,7 @@
         epoch: 1,
     };
     shared.members.send_modify(|view| {
-        view.plan = Some(Arc::new(ShardPlan::whole()));
+        view.plan = Some(Arc::new(ShardPlan::undivided()));
         view.shards.entry(whole()).or_default().leader = Some(leader);
     });
     shared.note_store("members");
@@ -247,7 +247,7 @@
 }
 
 /// Timers of `late` for three seconds, with so many inputs a second.
-async fn late_timers(rule: &mut LatenessRule, late: Duration, inputs: u64) {
+async fn late_timers(rule: &mut LatenessMonitor, late: Duration, inputs: u64) {
     let mut taken = 0;
     for _ in 0..10 {
         advance(Duration::from_millis(300)).await;
@@ -261,19 +261,19 @@
 #[tokio::test(start_paused = true)]
 async fn a_leader_that_is_late_with_much_done_is_not_slow() {
     for (late, inputs, slow) in [(60, 100, true), (60, 1_200, false), (5, 100, false)] {
-        let mut rule = LatenessRule::new();
+        let mut rule = LatenessMonitor::new();
         late_timers(&mut rule, Duration::from_millis(late), inputs).await;
         expect_that!(rule.is_slow(0.5), eq(slow), "{late} ms with {inputs} inputs a second");
     }
 }
 
 /// Lines of a store that refuses two duties each 100 ms for a time.
-async fn refuse(rule: &mut DependencyRule, time: Duration) -> Vec<DependencyLine> {
+async fn refuse(rule: &mut DependencyMonitor, time: Duration) -> Vec<DependencyEvent> {
     let mut lines = Vec::new();
     let end = Instant::now() + time;
     while Instant::now() < end {
-        lines.extend(rule.failed("members", DutyRhythm::Steady, "refused".to_owned()));
-        lines.extend(rule.failed("election", DutyRhythm::Steady, "refused".to_owned()));
+        lines.extend(rule.failed("members", RetryMode::Steady, "refused".to_owned()));
+        lines.extend(rule.failed("election", RetryMode::Steady, "refused".to_owned()));
         advance(Duration::from_millis(100)).await;
     }
     lines
@@ -284,18 +284,18 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_lost_dependency_is_a_line_a_second() {
-    let mut rule = DependencyRule::default();
+    let mut rule = DependencyMonitor::default();
     expect_that!(rule.answered("members"), none());
     advance(Duration::from_millis(250)).await;
     let lines = refuse(&mut rule, Duration::from_millis(9_050)).await;
-    let lost = DependencyLine::Lost {
+    let lost = DependencyEvent::Lost {
         duty: "members".to_owned(),
         failure: "refused".to_owned(),
         answer_age: Some(Duration::from_millis(250)),
         short_losses: 0,
     };
     expect_that!(lines.first(), some(eq(&lost)));
-    let still = DependencyLine::StillLost {
+    let still = DependencyEvent::StillLost {
         duties: vec!["election".to_owned(), "members".to_owned()],
         failure: "refused".to_owned(),
         away: Duration::from_secs(9),
@@ -305,7 +305,7 @@
     expect_that!(lines.len(), eq(10));
     expect_that!(rule.answered("election"), none());
     let away = Duration::from_millis(9_100);
-    let back = DependencyLine::Back { away, tries_failed: 182 };
+    let back = DependencyEvent::Back { away, tries_failed: 182 };
     expect_that!(rule.answered("members"), some(eq(&back)));
     expect_that!(rule.is_lost(), eq(false));
 }
@@ -315,20 +315,20 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_loss_ends_with_the_duty_that_suffered_from_it() {
-    let mut rule = DependencyRule::default();
-    expect_that!(rule.failed("ledger", DutyRhythm::AtNeed, "503".to_owned()), some(anything()));
+    let mut rule = DependencyMonitor::default();
+    expect_that!(rule.failed("ledger", RetryMode::OnDemand, "503".to_owned()), some(anything()));
     advance(Duration::from_millis(200)).await;
-    expect_that!(rule.failed("members", DutyRhythm::Steady, "503".to_owned()), none());
+    expect_that!(rule.failed("members", RetryMode::Steady, "503".to_owned()), none());
     advance(Duration::from_millis(300)).await;
     expect_that!(rule.answered("members"), none());
     advance(Duration::from_millis(400)).await;
     expect_that!(rule.look(), none());
     advance(Duration::from_millis(200)).await;
     let away = Duration::from_millis(500);
-    let back = DependencyLine::Back { away, tries_failed: 2 };
+    let back = DependencyEvent::Back { away, tries_failed: 2 };
     expect_that!(rule.look(), some(eq(&back)));
 
-    expect_that!(rule.failed("members", DutyRhythm::Steady, "503".to_owned()), none());
+    expect_that!(rule.failed("members", RetryMode::Steady, "503".to_owned()), none());
     advance(Duration::from_millis(3_000)).await;
     expect_that!(rule.look(), none());
     advance(Duration::from_millis(600)).await;
@@ -340,18 +340,18 @@
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_dependency_that_comes_and_goes_is_two_lines_a_second() {
-    let mut rule = DependencyRule::default();
+    let mut rule = DependencyMonitor::default();
     let mut lines = Vec::new();
     for _ in 0..100 {
-        lines.extend(rule.failed("election", DutyRhythm::Steady, "503".to_owned()));
+        lines.extend(rule.failed("election", RetryMode::Steady, "503".to_owned()));
         advance(Duration::from_millis(50)).await;
         lines.extend(rule.answered("election"));
         advance(Duration::from_millis(50)).await;
     }
     expect_that!(lines.len(), le(20));
-    let told = |line: &DependencyLine| match line {
-        DependencyLine::Lost { short_losses, .. } => 1 + short_losses,
-        DependencyLine::StillLost { .. } | DependencyLine::Back { .. } => 0,
+    let told = |line: &DependencyEvent| match line {
+        DependencyEvent::Lost { short_losses, .. } => 1 + short_losses,
+        DependencyEvent::StillLost { .. } | DependencyEvent::Back { .. } => 0,
     };
     expect_that!(lines.iter().map(told).sum::<u64>(), ge(90));
 }
@@ -395,12 +395,12 @@
 #[tokio::test(start_paused = true)]
 async fn a_question_for_a_state_waits_for_the_verdict_that_is_being_stored() {
     let (now, job) = (Instant::now(), GraphId::from("a"));
-    let ending = StateNews::Ending(GraphState::Running);
-    let stored = StateNews::Final(GraphState::Completed);
-    let mut desk = StateDesk::default();
+    let ending = StateUpdate::Ending(GraphState::Running);
+    let stored = StateUpdate::Final(GraphState::Completed);
+    let mut desk = StateQueries::default();
 
     let (answer, mut answered) = oneshot::channel();
-    desk.ask(now, job.clone(), StateNews::Final(GraphState::Running), answer);
+    desk.ask(now, job.clone(), StateUpdate::Final(GraphState::Running), answer);
     expect_that!(answered.try_recv(), ok(eq(&LeaderAnswer::State(GraphState::Running))));
 
     let (answer, mut answered) = oneshot::channel();
@@ -456,14 +456,14 @@
     let mut view = MemberView { known: true, ..MemberView::default() };
     let led = ShardView { leader: Some(own), epoch: 5, ..ShardView::default() };
     view.shards.insert(whole(), led);
-    shared.succession.set_lease(Some(3));
-    expect_that!(shared.succession.name(whole(), 4), some(eq(3)));
-    expect_that!(matches!(candidacy.standing(&view, true), Standing::Unchanged), eq(true));
+    shared.handover_inbox.set_lease(Some(3));
+    expect_that!(shared.handover_inbox.name(whole(), 4), some(eq(3)));
+    expect_that!(matches!(candidacy.standing(&view, true), CandidacyState::Unchanged), eq(true));
     advance(Duration::from_millis(1_600)).await;
-    expect_that!(matches!(candidacy.standing(&view, true), Standing::Won(_)), eq(true));
+    expect_that!(matches!(candidacy.standing(&view, true), CandidacyState::Won(_)), eq(true));
     // One that leaves is not named.
-    shared.succession.set_lease(None);
-    expect_that!(shared.succession.name(whole(), 5), none());
+    shared.handover_inbox.set_lease(None);
+    expect_that!(shared.handover_inbox.name(whole(), 5), none());
 }
 
 // A failure domain was cut off with the leader in it. Its entries heard that leader, which could store nothing, took
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -112,7 +112,7 @@
     /// and those of the shard's failure domain before others. The shards of one domain begin with
     /// different entries.
     pub(crate) fn rank(&self, shard: &ShardId, entry: &EntryId) -> CandidateRank {
-        let place = self.plan.as_ref().and_then(|plan| plan.place_of(shard));
+        let place = self.plan.as_ref().and_then(|plan| plan.domain_and_index(shard));
         let best = self.best_registered();
         let is_away =
             |record: &EntryRecord| place.is_some_and(|(domain, _)| *domain != record.domain);
@@ -137,7 +137,7 @@
     /// Entries that could lead a shard after one that leaves, best first: strong ones that lead nothing, of the shard's
     /// failure domain, then those that started last, since where entries are stopped in turn these are done.
     pub(crate) fn successors(&self, shard: &ShardId, leaving: &EntryId) -> Vec<SocketAddr> {
-        let place = self.plan.as_ref().and_then(|plan| plan.place_of(shard));
+        let place = self.plan.as_ref().and_then(|plan| plan.domain_and_index(shard));
         let best = self.best_registered();
         let order = |(name, record): &(&EntryId, &EntryRecord)| {
             let weak = record.processor < best * STRONG_SHARE;
@@ -152,7 +152,7 @@
 
     /// Whether no entry of a shard's failure domain is registered.
     pub(crate) fn is_cut_off(&self, shard: &ShardId) -> bool {
-        let place = self.plan.as_ref().and_then(|plan| plan.place_of(shard));
+        let place = self.plan.as_ref().and_then(|plan| plan.domain_and_index(shard));
         place.is_some_and(|(domain, _)| {
             !self.entries.values().any(|record| record.domain == *domain)
         })
@@ -185,15 +185,15 @@
     }
 
     /// Entries that make calls for advice for a shard's leader.
-    pub(crate) fn helpers(&self, shard: &ShardId) -> Vec<EntryId> {
+    pub(crate) fn advice_entries(&self, shard: &ShardId) -> Vec<EntryId> {
         let helps = |(name, record): &(&EntryId, &EntryRecord)| {
-            self.plan.as_ref().is_none_or(|plan| plan.is_helped_by(shard, name, &record.domain))
+            self.plan.as_ref().is_none_or(|plan| plan.is_advised_by(shard, name, &record.domain))
         };
-        let helpers: Vec<EntryId> =
+        let advice_entries: Vec<EntryId> =
             self.entries.iter().filter(helps).map(|(name, _)| name.clone()).collect();
-        match helpers.is_empty() {
+        match advice_entries.is_empty() {
             true => self.entries.keys().cloned().collect(),
-            false => helpers,
+            false => advice_entries,
         }
     }
 
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -13,4 +13,4 @@
 pub use health::{HealthTable, HealthVerdict};
 pub use pool::{PoolWorker, WorkerPool, WorkerSpec};
 pub use scheduler::{PlacementAction, TaskScheduler};
-pub use task::{LiveTask, RunningTask, StartingTask, StopReason, StoppingTask, TaskLife};
+pub use task::{LiveTask, RunningTask, StagedTask, StartingTask, StopReason, StoppingTask};
--- a/src/placement/estimate.rs
+++ b/src/placement/estimate.rs
@@ -41,7 +41,7 @@
             Some(mean) => mean.mul_f64(1.0 - RUN_TIME_WEIGHT) + run_time.mul_f64(RUN_TIME_WEIGHT),
             None => run_time,
         });
-        estimate.peak = estimate.peak.each_max(&peak);
+        estimate.peak = estimate.peak.component_max(&peak);
         estimate.samples += 1;
     }
 
--- a/src/placement/gang.rs
+++ b/src/placement/gang.rs
@@ -14,7 +14,7 @@
 
 /// Workers held back for one job. Only one job holds at a time, so holds cannot block each other.
 #[derive(Clone, Debug)]
-pub(crate) struct GangHold {
+pub(crate) struct GangReservation {
     /// The job.
     pub(crate) job: JobId,
     /// Workers that will be free for it first.
@@ -23,7 +23,7 @@
     pub(crate) free_at: Instant,
 }
 
-impl GangHold {
+impl GangReservation {
     /// Picks the workers that are expected to have room for `count` tasks soonest. `ends` tells when
     /// a worker is expected to be empty of tasks that end. Gives `None` where there never is room.
     pub(crate) fn plan(
--- a/src/placement/pool.rs
+++ b/src/placement/pool.rs
@@ -83,7 +83,7 @@
             return;
         }
         self.total = self.total.saturating_add(&spec.capacity);
-        self.largest = self.largest.each_max(&spec.capacity);
+        self.largest = self.largest.component_max(&spec.capacity);
         let worker = PoolWorker {
             free: spec.capacity,
             spec,
@@ -103,7 +103,7 @@
         self.unindex(&worker);
         self.total = self.total.saturating_sub(&worker.spec.capacity);
         let all = self.workers.values().map(|worker| worker.spec.capacity);
-        self.largest = all.fold(ResourceVector::default(), |a, b| a.each_max(&b));
+        self.largest = all.fold(ResourceVector::default(), |a, b| a.component_max(&b));
         worker.tasks.into_keys().collect()
     }
 
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -16,11 +16,11 @@
 use crate::invariant;
 use crate::job::{JobRecord, JobSpec, TaskEnd};
 use crate::placement::estimate::EstimateTable;
-use crate::placement::gang::GangHold;
+use crate::placement::gang::GangReservation;
 use crate::placement::health::HealthTable;
 use crate::placement::pool::{PoolWorker, WorkerPool, WorkerSpec};
 use crate::placement::queue::{CLASSES, JobQueue, QueueClass};
-use crate::placement::task::{LiveTask, StopReason, TaskLife};
+use crate::placement::task::{LiveTask, StagedTask, StopReason};
 use crate::placement::victim::{VictimCandidate, VictimSet, pick_victims};
 use crate::resources::ResourceVector;
 use crate::token::FencingToken;
@@ -33,7 +33,7 @@
 /// Times that one task may be stopped for urgent work.
 const MAX_PREEMPTIONS: u32 = 2;
 /// How long freed room is kept for the urgent task that it was freed for.
-const KEEP_TIME: Duration = Duration::from_secs(5);
+const RESERVATION_TIME: Duration = Duration::from_secs(5);
 /// Place of the epoch in the number of a try.
 const EPOCH_SHIFT: u32 = 32;
 /// Place of the round in the number of a try.
@@ -129,7 +129,7 @@
     quarantined: BTreeMap<WorkerId, Instant>,
     leaving: BTreeSet<WorkerId>,
     kept: BTreeMap<TaskId, (WorkerId, Instant)>,
-    hold: Option<GangHold>,
+    hold: Option<GangReservation>,
     /// Tasks that may run on a worker that was not heard from yet.
     suspects: BTreeSet<TaskId>,
     /// Whether tasks that may move to other failure domains may start.
@@ -188,7 +188,7 @@
             *sum = sum.saturating_add(&need);
         }
         let free = self.pool.free();
-        demand.values_mut().for_each(|sum| *sum = sum.each_min(&free));
+        demand.values_mut().for_each(|sum| *sum = sum.component_min(&free));
         demand
     }
 
@@ -254,7 +254,7 @@
         let workspace = job.spec.workspace.clone();
         let run_time = self.estimates.run_time(&job.spec);
         self.pool.note(worker, task, need);
-        let life = TaskLife::new(now, task.clone(), worker.clone(), need, attempt, run_time);
+        let life = StagedTask::new(now, task.clone(), worker.clone(), need, attempt, run_time);
         self.live.insert(task.clone(), LiveTask::Running(life.run(now)));
         self.charge(&workspace, need);
         true
@@ -539,7 +539,7 @@
 
     /// When a worker is worth asking because a task on it may have ended: when it is expected to, and
     /// then ever more rarely.
-    pub fn next_look(&self, now: Instant, worker: &WorkerId) -> Option<Instant> {
+    pub fn next_check(&self, now: Instant, worker: &WorkerId) -> Option<Instant> {
         let tasks = self.pool.get(worker)?.tasks.keys();
         let live = tasks.filter_map(|task| {
             let job = self.jobs.get(&task.0)?;
--- a/src/placement/scheduler/passes.rs
+++ b/src/placement/scheduler/passes.rs
@@ -4,7 +4,7 @@
 
 /// Why a task was not placed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum PlacementMiss {
+pub(super) enum PlacementFailure {
     NoRoom,
     Quota,
 }
@@ -19,7 +19,7 @@
 
 impl PassState {
     /// Tells whether something no larger has already found no room.
-    fn hopeless(&self, spec: &JobSpec, need: &ResourceVector) -> bool {
+    fn cannot_fit(&self, spec: &JobSpec, need: &ResourceVector) -> bool {
         let urgent = spec.urgency == Urgency::Now;
         !urgent && self.misses.iter().any(|(_, missed)| missed.fits(need))
     }
@@ -64,26 +64,26 @@
         now: Instant,
         id: &JobId,
         pass: &mut PassState,
-    ) -> std::result::Result<(), PlacementMiss> {
+    ) -> std::result::Result<(), PlacementFailure> {
         let Some(queued) = self.queue.get(id) else {
-            return Err(PlacementMiss::NoRoom);
+            return Err(PlacementFailure::NoRoom);
         };
         let spec = queued.spec.clone();
         let Some(index) = queued.waiting.first().copied() else {
-            return Err(PlacementMiss::NoRoom);
+            return Err(PlacementFailure::NoRoom);
         };
         if spec.cut_off == crate::intent::CutOffRule::Move && !self.movable_allowed {
-            return Err(PlacementMiss::NoRoom);
+            return Err(PlacementFailure::NoRoom);
         }
         let need = self.estimates.need(&spec);
-        if spec.spread == SpreadRule::None && pass.hopeless(&spec, &need) {
-            return Err(PlacementMiss::NoRoom);
+        if spec.spread == SpreadRule::None && pass.cannot_fit(&spec, &need) {
+            return Err(PlacementFailure::NoRoom);
         }
         let placed = match spec.kind {
             JobKind::AllAtOnce => self.place_gang(now, &spec, need),
             JobKind::Batch | JobKind::Service => self.place_one(now, &spec, index, need, pass),
         };
-        if placed == Err(PlacementMiss::NoRoom) {
+        if placed == Err(PlacementFailure::NoRoom) {
             pass.failures += 1;
             if spec.kind != JobKind::AllAtOnce && spec.spread == SpreadRule::None {
                 pass.misses.push((spec.urgency == Urgency::Now, need));
@@ -107,9 +107,9 @@
         index: TaskIndex,
         need: ResourceVector,
         pass: &mut PassState,
-    ) -> std::result::Result<(), PlacementMiss> {
+    ) -> std::result::Result<(), PlacementFailure> {
         if !self.within_quota(spec, &need) {
-            return Err(PlacementMiss::Quota);
+            return Err(PlacementFailure::Quota);
         }
         let task = (spec.id.clone(), index);
         match self.find(now, spec, &task, &need) {
@@ -121,7 +121,7 @@
                 if spec.urgency == Urgency::Now && !self.kept.contains_key(&task) {
                     self.preempt(now, &task, &need, pass);
                 }
-                Err(PlacementMiss::NoRoom)
+                Err(PlacementFailure::NoRoom)
             }
         }
     }
@@ -197,7 +197,7 @@
         *last = (*last).max(self.attempt_base) + 1;
         let attempt = *last;
         job.live.insert(task.1);
-        let life = TaskLife::new(now, task.clone(), worker.clone(), need, attempt, run_time);
+        let life = StagedTask::new(now, task.clone(), worker.clone(), need, attempt, run_time);
         self.live.insert(task.clone(), LiveTask::Starting(life));
         self.health.note_start(&worker, now);
         let (task, spec) = (task.clone(), spec.clone());
@@ -210,18 +210,18 @@
         now: Instant,
         spec: &Arc<JobSpec>,
         need: ResourceVector,
-    ) -> std::result::Result<(), PlacementMiss> {
+    ) -> std::result::Result<(), PlacementFailure> {
         let open: Vec<TaskIndex> = match self.jobs.get(&spec.id) {
             Some(job) => (0..spec.count).filter(|index| !job.ended.contains(index)).collect(),
-            None => return Err(PlacementMiss::NoRoom),
+            None => return Err(PlacementFailure::NoRoom),
         };
         let waiting = self.queue.get(&spec.id).map_or(0, |queued| queued.waiting.len());
         if waiting < open.len() {
-            return Err(PlacementMiss::NoRoom);
+            return Err(PlacementFailure::NoRoom);
         }
         let count = u32::try_from(open.len()).unwrap_or(u32::MAX);
         if !self.within_quota(spec, &need.times(count)) {
-            return Err(PlacementMiss::Quota);
+            return Err(PlacementFailure::Quota);
         }
         let mut taken = Vec::new();
         for index in &open {
@@ -236,7 +236,7 @@
         }
         if taken.len() < open.len() {
             self.hold_for(now, spec, need, count);
-            return Err(PlacementMiss::NoRoom);
+            return Err(PlacementFailure::NoRoom);
         }
         self.drop_hold(&spec.id);
         for (task, worker) in taken {
@@ -268,6 +268,6 @@
             }
             (end, room)
         };
-        self.hold = GangHold::plan(spec.id.clone(), &need, count, &self.pool, ends);
+        self.hold = GangReservation::plan(spec.id.clone(), &need, count, &self.pool, ends);
     }
 }
--- a/src/placement/scheduler/preemption.rs
+++ b/src/placement/scheduler/preemption.rs
@@ -24,7 +24,7 @@
             return;
         };
         self.pool.keep_for(&set.worker, Some(task.clone()));
-        self.kept.insert(task.clone(), (set.worker, now + KEEP_TIME));
+        self.kept.insert(task.clone(), (set.worker, now + RESERVATION_TIME));
         for victim in set.tasks {
             metrics::counter!("kelplink_preemptions_total").increment(1);
             self.stop_task(&victim, StopReason::Preempted);
--- a/src/placement/task.rs
+++ b/src/placement/task.rs
@@ -50,7 +50,7 @@
 
 /// A task in one stage of its life; each transition takes the earlier stage.
 #[derive(Clone, Debug)]
-pub struct TaskLife<S> {
+pub struct StagedTask<S> {
     /// The task.
     pub id: TaskId,
     /// Where it is.
@@ -65,9 +65,9 @@
     pub stage: S,
 }
 
-impl<S> TaskLife<S> {
-    fn with<T>(self, stage: T) -> TaskLife<T> {
-        TaskLife {
+impl<S> StagedTask<S> {
+    fn with<T>(self, stage: T) -> StagedTask<T> {
+        StagedTask {
             id: self.id,
             worker: self.worker,
             need: self.need,
@@ -78,7 +78,7 @@
     }
 }
 
-impl TaskLife<StartingTask> {
+impl StagedTask<StartingTask> {
     /// Begins: room is taken and the start commanded.
     pub(crate) fn new(
         now: Instant,
@@ -93,19 +93,19 @@
     }
 
     /// The worker reports that it runs.
-    pub(crate) fn run(self, since: Instant) -> TaskLife<RunningTask> {
+    pub(crate) fn run(self, since: Instant) -> StagedTask<RunningTask> {
         self.with(RunningTask { since })
     }
 
     /// A stop is commanded before it was seen to run.
-    pub(crate) fn stop(self, reason: StopReason) -> TaskLife<StoppingTask> {
+    pub(crate) fn stop(self, reason: StopReason) -> StagedTask<StoppingTask> {
         self.with(StoppingTask { reason, ran_since: None })
     }
 }
 
-impl TaskLife<RunningTask> {
+impl StagedTask<RunningTask> {
     /// A stop is commanded.
-    pub(crate) fn stop(self, reason: StopReason) -> TaskLife<StoppingTask> {
+    pub(crate) fn stop(self, reason: StopReason) -> StagedTask<StoppingTask> {
         let ran_since = Some(self.stage.since);
         self.with(StoppingTask { reason, ran_since })
     }
@@ -115,11 +115,11 @@
 #[derive(Clone, Debug)]
 pub enum LiveTask {
     /// Start commanded.
-    Starting(TaskLife<StartingTask>),
+    Starting(StagedTask<StartingTask>),
     /// Running.
-    Running(TaskLife<RunningTask>),
+    Running(StagedTask<RunningTask>),
     /// Stop commanded.
-    Stopping(TaskLife<StoppingTask>),
+    Stopping(StagedTask<StoppingTask>),
 }
 
 impl LiveTask {
@@ -206,7 +206,7 @@
     /// Notes that the worker reports it as running.
     pub(crate) fn run(self, since: Instant, attempt: Attempt) -> Self {
         match self {
-            Self::Starting(life) => Self::Running(TaskLife { attempt, ..life.run(since) }),
+            Self::Starting(life) => Self::Running(StagedTask { attempt, ..life.run(since) }),
             other => other,
         }
     }
--- a/src/placement/victim.rs
+++ b/src/placement/victim.rs
@@ -43,7 +43,7 @@
             break;
         }
         let lacking = need.saturating_sub(&free);
-        if lacking.each_min(&candidate.need) == ResourceVector::default() {
+        if lacking.component_min(&candidate.need) == ResourceVector::default() {
             continue;
         }
         free = free.saturating_add(&candidate.need);
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -5,8 +5,8 @@
 mod advisor;
 mod configuration;
 mod http;
+mod instance_start;
 mod jobs;
-mod life_start;
 mod registrations;
 mod settings;
 mod store;
@@ -15,14 +15,14 @@
 pub(crate) use advisor::AdvisorClient;
 pub(crate) use configuration::{CONFIG_KEY, CONFIG_PREFIX, decode_config};
 pub(crate) use jobs::{
-    READY_PATH, caller_patience, decode_job, encode_pending, encode_state, is_job_name,
+    READY_PATH, decode_caller_timeout, decode_job, encode_pending, encode_state, is_job_name,
 };
 pub(crate) use registrations::{
     REGISTRATION_PREFIX, RegistrationError, decode_registration, worker_of_key,
 };
 pub use settings::{SETTINGS_VARIABLE, parse_platform_settings};
 pub(crate) use store::{PAGE_TIME, PlatformStore};
-pub(crate) use workers::{CallTerms, WorkerClient};
+pub(crate) use workers::{CallContext, WorkerClient};
 
 #[cfg(test)]
 mod empty_store;
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -62,7 +62,7 @@
     name: ServiceId,
     /// Whether its workers refuse what does not fit.
     #[serde(rename = "admission_check", default)]
-    guards: bool,
+    enforces_capacity: bool,
     #[serde(default)]
     standby: bool,
 }
@@ -88,7 +88,8 @@
 pub(crate) fn decode_config(bytes: &[u8]) -> Result<QueueConfig, serde_json::Error> {
     let wire: WireConfig = serde_json::from_slice(bytes)?;
     let pool = |service: WireService| {
-        let rule = PoolRule { guards: service.guards, standby: service.standby };
+        let rule =
+            PoolRule { enforces_capacity: service.enforces_capacity, standby: service.standby };
         (service.name, rule)
     };
     Ok(QueueConfig {
--- a/src/platform/life_start.rs
+++ b/src/platform/instance_start.rs
@@ -2,14 +2,14 @@
 
 use serde::{Deserialize, Deserializer};
 
-use crate::graph::LifeStart;
+use crate::graph::InstanceStart;
 
 /// Decodes a life's start where there is one: anything but a whole number is unreadable, `null` too.
 ///
 /// # Errors
 /// What the decoder says of another type.
-pub(super) fn decode_life_start<'d, D: Deserializer<'d>>(
+pub(super) fn decode_instance_start<'d, D: Deserializer<'d>>(
     decoder: D,
-) -> std::result::Result<LifeStart, D::Error> {
+) -> std::result::Result<InstanceStart, D::Error> {
     u64::deserialize(decoder).map(Some)
 }
--- a/src/platform/jobs.rs
+++ b/src/platform/jobs.rs
@@ -189,7 +189,7 @@
 ///
 /// # Errors
 /// What is wrong, in words for the caller.
-pub(crate) fn caller_patience(headers: &HeaderMap) -> Result<Option<Duration>, &'static str> {
+pub(crate) fn decode_caller_timeout(headers: &HeaderMap) -> Result<Option<Duration>, &'static str> {
     let Some(value) = headers.get(PATIENCE_HEADER) else {
         return Ok(None);
     };
--- a/src/platform/registrations.rs
+++ b/src/platform/registrations.rs
@@ -7,10 +7,10 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::graph::{LifeStart, MachineId, WorkerListing};
+use crate::graph::{InstanceStart, MachineId, WorkerRegistration};
 use crate::id::{DomainId, RackId, ServiceId, WorkerId};
 use crate::node::KeyItem;
-use crate::platform::life_start::decode_life_start;
+use crate::platform::instance_start::decode_instance_start;
 use crate::resources::ResourceVector;
 
 type Result<T> = std::result::Result<T, RegistrationError>;
@@ -73,8 +73,8 @@
     _sequence: f64,
     capacity: WireCapacity,
     /// Start of this life of the worker.
-    #[serde(default, deserialize_with = "decode_life_start")]
-    born: LifeStart,
+    #[serde(default, deserialize_with = "decode_instance_start")]
+    born: InstanceStart,
     /// Kind and rack.
     labels: Vec<Arc<str>>,
     #[serde(default)]
@@ -107,7 +107,7 @@
 ///
 /// # Errors
 /// Why it names no worker.
-pub(crate) fn decode_registration(item: &KeyItem) -> Result<WorkerListing> {
+pub(crate) fn decode_registration(item: &KeyItem) -> Result<WorkerRegistration> {
     let id = worker_of_key(&item.key).ok_or(RegistrationError::Key)?;
     let wire: WireRegistration = serde_json::from_slice(&item.value)?;
     if let Some(field) = wire.senseless() {
@@ -117,9 +117,9 @@
     let rack = rack.map_or_else(|| RackId::from(""), RackId::clone);
     let left = || Duration::from_millis(wire.remaining_ms.unwrap_or(0.0).max(0.0) as u64);
     let WireCapacity { millicpu, mem_mb, gpus } = wire.capacity;
-    Ok(WorkerListing {
+    Ok(WorkerRegistration {
         id,
-        born: wire.born,
+        instance_start: wire.born,
         address: wire.address,
         service: wire.service,
         domain: wire.zone,
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -6,7 +6,7 @@
 
 use serde::Deserialize;
 
-use crate::finding::{FindingList, InputFinding};
+use crate::diagnostic::{DiagnosticList, InputDiagnostic};
 use crate::graph::GraphBounds;
 use crate::node::NodeSettings;
 
@@ -91,16 +91,16 @@
 ///
 /// # Errors
 /// What is missing or wrong, with its place.
-pub fn parse_platform_settings(source: &str, text: &str) -> Result<NodeSettings, FindingList> {
+pub fn parse_platform_settings(source: &str, text: &str) -> Result<NodeSettings, DiagnosticList> {
     let wire: WireSettings = toml::from_str(text).map_err(|error| {
         let offset = error.span().map_or(0, |span| span.start);
-        let finding = InputFinding::at(source, text, offset, error.message().to_owned());
-        FindingList(vec![finding])
+        let diagnostic = InputDiagnostic::at(source, text, offset, error.message().to_owned());
+        DiagnosticList(vec![diagnostic])
     })?;
     let mut findings = Vec::new();
     let mut wrong = |name: &str, message: &str| {
         let offset = text.find(name).unwrap_or(0);
-        findings.push(InputFinding::at(source, text, offset, message.to_owned()));
+        findings.push(InputDiagnostic::at(source, text, offset, message.to_owned()));
     };
     let (first, last) = wire.internal_ports;
     if last <= first {
@@ -116,7 +116,7 @@
         wrong("cpu_share", "`cpu_share` and `cores`: expected more than 0");
     }
     if !findings.is_empty() {
-        return Err(FindingList(findings));
+        return Err(DiagnosticList(findings));
     }
     Ok(NodeSettings {
         name: wire.node.as_str().into(),
@@ -133,8 +133,8 @@
         grace: seconds(wire.bounds.grace_s),
         bounds: GraphBounds {
             longest_lease: Duration::from_millis(wire.bounds.hold_max_ms),
-            remembered: seconds(wire.bounds.status_s),
-            blind: BLIND_TIME,
+            retention: seconds(wire.bounds.status_s),
+            lease_extension_window: BLIND_TIME,
         },
     })
 }
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use serde_json::{Value, json};
 
-use crate::graph::WorkerListing;
+use crate::graph::WorkerRegistration;
 use crate::node::{KeyItem, KeyPage};
 use crate::platform::registrations::{RegistrationError, decode_registration, worker_of_key};
 use crate::platform::store::{WirePage, escape_query};
@@ -34,7 +34,7 @@
     Bytes::from(serde_json::to_vec(&registration).unwrap())
 }
 
-fn decode(key: &str, value: Bytes) -> std::result::Result<WorkerListing, RegistrationError> {
+fn decode(key: &str, value: Bytes) -> std::result::Result<WorkerRegistration, RegistrationError> {
     decode_registration(&KeyItem { key: key.to_owned(), value, revision: 1 })
 }
 
@@ -43,14 +43,14 @@
     for value in
         [with("state", json!("ready")), with("machine", json!("m1")), with("new", json!(1))]
     {
-        let listing = decode("servers/w1", value).unwrap();
-        expect_that!(&*listing.id, eq("w1"));
-        expect_that!(&*listing.domain, eq("a"));
-        expect_that!(&*listing.rack, eq("r1-3"));
-        expect_that!(listing.leaving, none());
+        let registration = decode("servers/w1", value).unwrap();
+        expect_that!(&*registration.id, eq("w1"));
+        expect_that!(&*registration.domain, eq("a"));
+        expect_that!(&*registration.rack, eq("r1-3"));
+        expect_that!(registration.leaving, none());
     }
-    let listing = decode("servers/w1", with("born", json!(1_792_000_000_000_u64))).unwrap();
-    expect_that!(listing.born, some(eq(1_792_000_000_000)));
+    let registration = decode("servers/w1", with("born", json!(1_792_000_000_000_u64))).unwrap();
+    expect_that!(registration.instance_start, some(eq(1_792_000_000_000)));
     let leaving = decode("servers/w1", with("state", json!("draining"))).unwrap();
     expect_that!(leaving.leaving, some(anything()));
     let late = json!({"state": "draining", "remaining_ms": -3.5, "cold_ms": -0.5});
--- a/src/platform/workers.rs
+++ b/src/platform/workers.rs
@@ -10,19 +10,19 @@
 
 use crate::client::{ClientError, HttpClient};
 use crate::graph::{
-    CallFailure, CommandResult, EndKind, EndReport, LeaderEpoch, LifeStart, PollReply, PollResult,
-    RunNumber, RunReport, StartOrder, TaskName, WorkerRefusal,
+    CallFailure, CommandResult, EndKind, EndReport, InstanceStart, LeaderEpoch, PollReply,
+    PollResult, RunNumber, RunReport, StartCommand, TaskName, WorkerRefusal,
 };
 use crate::id::WorkerId;
 use crate::platform::http::{JsonCall, read_json, send_json};
-use crate::platform::life_start::decode_life_start;
+use crate::platform::instance_start::decode_instance_start;
 
 const START_PATH: &str = "/api/run-start";
 const STOP_PATH: &str = "/api/run-stop";
 const POLL_PATH: &str = "/api/hold";
 const THROTTLE_PATH: &str = "/api/pace";
 /// Names the life of the worker that a call is meant for; any other answers 421.
-const LIFE_HEADER: &str = "Target-Instance";
+const INSTANCE_HEADER: &str = "Target-Instance";
 
 /// Added to the time of an answer before a poll counts as lost: its answer lists all that runs.
 const POLL_SLACK: Duration = Duration::from_millis(100);
@@ -92,8 +92,8 @@
 struct WirePollAnswer {
     clock_ms: u64,
     /// Start of this life of the worker.
-    #[serde(default, deserialize_with = "decode_life_start")]
-    born: LifeStart,
+    #[serde(default, deserialize_with = "decode_instance_start")]
+    born: InstanceStart,
     #[serde(default)]
     running: Vec<WireRunning>,
     #[serde(default)]
@@ -102,7 +102,7 @@
 
 /// What all calls to workers have in common.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct CallTerms {
+pub(crate) struct CallContext {
     /// Epoch of the leader that calls.
     pub(crate) epoch: LeaderEpoch,
     /// Longest time for an answer.
@@ -121,7 +121,7 @@
     }
 
     /// Starts a run; a run that is there already is no error.
-    pub(crate) async fn start(&self, terms: CallTerms, order: &StartOrder) -> CommandResult {
+    pub(crate) async fn start(&self, terms: CallContext, order: &StartCommand) -> CommandResult {
         let body = WireStart {
             task: order.task.to_string(),
             run: order.run,
@@ -137,7 +137,7 @@
     /// Stops a run; one that has not begun will be refused from then on.
     pub(crate) async fn stop(
         &self,
-        terms: CallTerms,
+        terms: CallContext,
         worker: &WorkerId,
         address: SocketAddr,
         task: &TaskName,
@@ -150,7 +150,7 @@
     /// Lets a run work at a share of its speed.
     pub(crate) async fn throttle(
         &self,
-        terms: CallTerms,
+        terms: CallContext,
         worker: &WorkerId,
         address: SocketAddr,
         task: &TaskName,
@@ -165,7 +165,7 @@
     /// Looks at a worker, renews its lease and acknowledges ends.
     pub(crate) async fn poll(
         &self,
-        terms: CallTerms,
+        terms: CallContext,
         worker: &WorkerId,
         address: SocketAddr,
         until: Option<Duration>,
@@ -184,7 +184,7 @@
         let ended = answer.finished.into_iter().filter_map(ended).collect();
         let running = answer.running.into_iter().filter_map(running).collect();
         let clock = Duration::from_millis(answer.clock_ms);
-        Ok(PollReply { born: answer.born, clock, running, ended })
+        Ok(PollReply { instance_start: answer.born, clock, running, ended })
     }
 
     async fn command<B: Serialize>(
@@ -208,7 +208,7 @@
         body: &B,
         time: Duration,
     ) -> std::result::Result<Response<Bytes>, CallFailure> {
-        let headers = [(LIFE_HEADER, &**worker)];
+        let headers = [(INSTANCE_HEADER, &**worker)];
         let call = JsonCall {
             line: "workers",
             method: Method::POST,
@@ -250,9 +250,9 @@
 }
 
 fn running(wire: WireRunning) -> Option<RunReport> {
-    let WireRunning(task, run, saved, percent, figure) = wire;
+    let WireRunning(task, run, saved, percent, measurement) = wire;
     let task = named(&task)?;
-    Some(RunReport { task, run, saved, percent: percent as u32, figure: figure as u32 })
+    Some(RunReport { task, run, saved, percent: percent as u32, measurement: measurement as u32 })
 }
 
 fn ended(wire: WireEnded) -> Option<EndReport> {
--- a/src/problem.rs
+++ b/src/problem.rs
@@ -15,7 +15,7 @@
 
 /// What became of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum RanState {
+pub(crate) enum RunState {
     /// It ran.
     Yes,
     /// It never reached an upstream; it is safe to send it again.
@@ -24,7 +24,7 @@
     Unknown,
 }
 
-impl RanState {
+impl RunState {
     /// Value of the header.
     pub(crate) fn label(self) -> &'static str {
         match self {
@@ -42,7 +42,7 @@
     title: &'static str,
     detail: String,
     retry_after: Option<Duration>,
-    ran: Option<RanState>,
+    ran: Option<RunState>,
     closes: bool,
 }
 
@@ -61,7 +61,7 @@
     }
 
     /// Tells what became of the request.
-    pub(crate) fn ran(mut self, ran: RanState) -> Self {
+    pub(crate) fn ran(mut self, ran: RunState) -> Self {
         self.ran = Some(ran);
         self
     }
--- a/src/reader.rs
+++ b/src/reader.rs
@@ -8,16 +8,16 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-use crate::finding::{FindingList, InputFinding};
+use crate::diagnostic::{DiagnosticList, InputDiagnostic};
 
 /// Collects findings about one text.
-pub(crate) struct FindingSink<'t> {
+pub(crate) struct DiagnosticSink<'t> {
     source: &'t str,
     text: &'t str,
-    findings: Vec<InputFinding>,
+    findings: Vec<InputDiagnostic>,
 }
 
-impl<'t> FindingSink<'t> {
+impl<'t> DiagnosticSink<'t> {
     /// Parses `text`; syntax errors become findings.
     pub(crate) fn parse(source: &'t str, text: &'t str) -> (Spanned<DeTable<'t>>, Self) {
         let (table, errors) = DeTable::parse_recoverable(text);
@@ -30,15 +30,15 @@
 
     /// Adds a finding at a byte range.
     pub(crate) fn add(&mut self, span: Range<usize>, message: String) {
-        self.findings.push(InputFinding::at(self.source, self.text, span.start, message));
+        self.findings.push(InputDiagnostic::at(self.source, self.text, span.start, message));
     }
 
     /// Gives `value` when nothing was found, and all findings in order of place otherwise.
-    pub(crate) fn finish<T>(mut self, value: Option<T>) -> Result<T, FindingList> {
-        self.findings.sort_by_key(|finding| (finding.line, finding.column));
+    pub(crate) fn finish<T>(mut self, value: Option<T>) -> Result<T, DiagnosticList> {
+        self.findings.sort_by_key(|diagnostic| (diagnostic.line, diagnostic.column));
         match value {
             Some(value) if self.findings.is_empty() => Ok(value),
-            _ => Err(FindingList(self.findings)),
+            _ => Err(DiagnosticList(self.findings)),
         }
     }
 }
@@ -65,7 +65,7 @@
     pub(crate) fn string(
         &mut self,
         key: &'static str,
-        sink: &mut FindingSink<'_>,
+        sink: &mut DiagnosticSink<'_>,
     ) -> Option<String> {
         let found = self.optional_string(key, sink);
         if self.table.get(key).is_none() {
@@ -78,7 +78,7 @@
     pub(crate) fn optional_string(
         &mut self,
         key: &'static str,
-        sink: &mut FindingSink<'_>,
+        sink: &mut DiagnosticSink<'_>,
     ) -> Option<String> {
         let value = self.get(key)?;
         match value.get_ref().as_str() {
@@ -100,7 +100,7 @@
         &mut self,
         key: &'static str,
         expected: &str,
-        sink: &mut FindingSink<'_>,
+        sink: &mut DiagnosticSink<'_>,
     ) -> Option<T> {
         let text = self.string(key, sink)?;
         let span = self.table.get(key)?.span();
@@ -114,12 +114,12 @@
     }
 
     /// One of a few words, with a default.
-    pub(crate) fn word<T: Clone>(
+    pub(crate) fn choice<T: Clone>(
         &mut self,
         key: &'static str,
         words: &[(&str, T)],
         default: Option<T>,
-        sink: &mut FindingSink<'_>,
+        sink: &mut DiagnosticSink<'_>,
     ) -> Option<T> {
         let Some(value) = self.get(key) else {
             if default.is_none() {
@@ -143,7 +143,7 @@
         key: &'static str,
         range: RangeInclusive<u64>,
         default: Option<u64>,
-        sink: &mut FindingSink<'_>,
+        sink: &mut DiagnosticSink<'_>,
     ) -> Option<u64> {
         let (low, high) = (*range.start(), *range.end());
         let Some(value) = self.get(key) else {
@@ -175,7 +175,7 @@
         key: &'static str,
         range: RangeInclusive<u64>,
         default: u64,
-        sink: &mut FindingSink<'_>,
+        sink: &mut DiagnosticSink<'_>,
     ) -> Option<Duration> {
         self.integer(key, range, Some(default), sink).map(Duration::from_millis)
     }
@@ -185,7 +185,7 @@
         &mut self,
         key: &'static str,
         default: bool,
-        sink: &mut FindingSink<'_>,
+        sink: &mut DiagnosticSink<'_>,
     ) -> Option<bool> {
         let Some(value) = self.get(key) else {
             return Some(default);
@@ -202,7 +202,7 @@
     pub(crate) fn tables(
         &mut self,
         key: &'static str,
-        sink: &mut FindingSink<'_>,
+        sink: &mut DiagnosticSink<'_>,
     ) -> Vec<TableReader<'a, 't>> {
         let Some(value) = self.get(key) else {
             return Vec::new();
@@ -229,7 +229,7 @@
     pub(crate) fn table(
         &mut self,
         key: &'static str,
-        sink: &mut FindingSink<'_>,
+        sink: &mut DiagnosticSink<'_>,
     ) -> Option<TableReader<'a, 't>> {
         let value = self.get(key)?;
         let found = value.get_ref().as_table();
@@ -246,7 +246,7 @@
     }
 
     /// Reports each key that nobody asked for.
-    pub(crate) fn finish(self, sink: &mut FindingSink<'_>) {
+    pub(crate) fn finish(self, sink: &mut DiagnosticSink<'_>) {
         for key in self.table.keys() {
             let name: &str = key.get_ref();
             if !self.asked.contains(name) {
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -78,7 +78,7 @@
     }
 
     /// The smaller of both in each dimension.
-    pub fn each_min(&self, other: &Self) -> Self {
+    pub fn component_min(&self, other: &Self) -> Self {
         Self {
             accelerators: self.accelerators.min(other.accelerators),
             millicores: self.millicores.min(other.millicores),
@@ -87,7 +87,7 @@
     }
 
     /// The larger of both in each dimension.
-    pub fn each_max(&self, other: &Self) -> Self {
+    pub fn component_max(&self, other: &Self) -> Self {
         Self {
             accelerators: self.accelerators.max(other.accelerators),
             millicores: self.millicores.max(other.millicores),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::finding::FindingList;
+use crate::diagnostic::DiagnosticList;
 use crate::id::{DomainId, EntryId};
-use crate::reader::{FindingSink, TableReader};
+use crate::reader::{DiagnosticSink, TableReader};
 
-type Result<T> = std::result::Result<T, FindingList>;
+type Result<T> = std::result::Result<T, DiagnosticList>;
 
 /// Another entry process.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -125,7 +125,7 @@
     /// # Errors
     /// All findings, in order of place.
     pub fn parse(source: &str, text: &str) -> Result<Self> {
-        let (table, mut sink) = FindingSink::parse(source, text);
+        let (table, mut sink) = DiagnosticSink::parse(source, text);
         let mut reader = TableReader::new(&table);
         let settings = read_entry(&mut reader, &mut sink);
         reader.finish(&mut sink);
@@ -137,7 +137,7 @@
 
 fn read_entry(
     reader: &mut TableReader<'_, '_>,
-    sink: &mut FindingSink<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) -> Option<EntrySettings> {
     let name = reader.string("name", sink);
     let domain = reader.string("failure_domain", sink);
@@ -165,7 +165,7 @@
 
 fn read_peers(
     reader: &mut TableReader<'_, '_>,
-    sink: &mut FindingSink<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) -> Option<Vec<PeerSettings>> {
     let tables = reader.tables("peer", sink);
     let mut peers = Vec::new();
@@ -196,7 +196,7 @@
 
 fn read_timing(
     reader: &mut TableReader<'_, '_>,
-    sink: &mut FindingSink<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) -> Option<TimingSettings> {
     let default = TimingSettings::default();
     let Some(mut table) = reader.table("timing", sink) else {
@@ -241,7 +241,7 @@
 
 fn read_limits(
     reader: &mut TableReader<'_, '_>,
-    sink: &mut FindingSink<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) -> Option<LimitSettings> {
     let default = LimitSettings::default();
     let Some(mut table) = reader.table("limits", sink) else {
--- a/src/standin/server.rs
+++ b/src/standin/server.rs
@@ -56,7 +56,7 @@
 
 /// What a listener plays.
 #[derive(Clone, Debug)]
-enum PlayedRole {
+enum StandInRole {
     Store,
     Vms,
     Worker(String),
@@ -64,17 +64,17 @@
 }
 
 #[derive(Clone)]
-struct PlayedContext {
-    role: PlayedRole,
+struct StandInContext {
+    role: StandInRole,
     state: Arc<Mutex<StandInState>>,
     changed: watch::Sender<u64>,
 }
 
-impl std::panic::UnwindSafe for PlayedContext {}
-impl std::panic::RefUnwindSafe for PlayedContext {}
-impl StateData for PlayedContext {}
+impl std::panic::UnwindSafe for StandInContext {}
+impl std::panic::RefUnwindSafe for StandInContext {}
+impl StateData for StandInContext {}
 
-impl PlayedContext {
+impl StandInContext {
     fn lock(&self) -> MutexGuard<'_, StandInState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -94,13 +94,13 @@
     /// Where an address cannot be bound.
     pub fn start(settings: &StandInSettings) -> Result<Self> {
         let mut listeners = vec![
-            (bind(settings.store).context("store")?, PlayedRole::Store),
-            (bind(settings.vms).context("vms")?, PlayedRole::Vms),
+            (bind(settings.store).context("store")?, StandInRole::Store),
+            (bind(settings.vms).context("vms")?, StandInRole::Vms),
         ];
         for vm in &settings.machines {
             let role = match vm.role {
-                VmRole::Worker { .. } => PlayedRole::Worker(vm.id.clone()),
-                VmRole::Upstream { .. } => PlayedRole::Upstream(vm.id.clone()),
+                VmRole::Worker { .. } => StandInRole::Worker(vm.id.clone()),
+                VmRole::Upstream { .. } => StandInRole::Upstream(vm.id.clone()),
             };
             listeners.push((bind(vm.address).with_context(|| vm.id.clone())?, role));
         }
@@ -136,7 +136,7 @@
 }
 
 async fn play(
-    listeners: Vec<(std::net::TcpListener, PlayedRole)>,
+    listeners: Vec<(std::net::TcpListener, StandInRole)>,
     machines: Vec<VmRecord>,
     state: Arc<Mutex<StandInState>>,
     mut stopped: watch::Receiver<bool>,
@@ -158,7 +158,7 @@
         state.vms = machines;
     }
     for (listener, role) in listeners {
-        let context = PlayedContext { role, state: state.clone(), changed: changed.clone() };
+        let context = StandInContext { role, state: state.clone(), changed: changed.clone() };
         listen(TcpListener::from_std(listener)?, context, stopped.clone());
     }
     let stop = stopped.clone();
@@ -170,7 +170,7 @@
     }
 }
 
-fn listen(listener: TcpListener, context: PlayedContext, stop: watch::Receiver<bool>) {
+fn listen(listener: TcpListener, context: StandInContext, stop: watch::Receiver<bool>) {
     let prepare: PrepareState = Arc::new(move |state| state.put(context.clone()));
     let limits = ListenerLimits { drain: Duration::ZERO, ..ListenerLimits::default() };
     tokio::spawn(serve_http(listener, limits, routes(), prepare, stop));
@@ -202,8 +202,8 @@
                 worker.set_endpoint(&task, address);
             }
         }
-        let role = PlayedRole::Upstream(name);
-        let context = PlayedContext { role, state: state.clone(), changed: changed.clone() };
+        let role = StandInRole::Upstream(name);
+        let context = StandInContext { role, state: state.clone(), changed: changed.clone() };
         listen(listener, context, stop.clone());
     }
     Ok(())
@@ -229,15 +229,15 @@
     Box::pin(async move {
         let body = Body::try_take_from(&mut state).unwrap_or_default();
         let bytes = body.collect().await.map(|body| body.to_bytes()).unwrap_or_default();
-        let context = PlayedContext::borrow_from(&state).clone();
+        let context = StandInContext::borrow_from(&state).clone();
         let method = Method::borrow_from(&state).clone();
         let uri = Uri::borrow_from(&state).clone();
         let headers = HeaderMap::borrow_from(&state).clone();
         let response = match context.role.clone() {
-            PlayedRole::Store => store(&context, &method, &uri, &bytes).await,
-            PlayedRole::Vms => vms(&context, &method, &headers, &bytes),
-            PlayedRole::Worker(name) => worker(&context, &name, &bytes),
-            PlayedRole::Upstream(name) => upstream(&context, &name, &uri, &headers).await,
+            StandInRole::Store => store(&context, &method, &uri, &bytes).await,
+            StandInRole::Vms => vms(&context, &method, &headers, &bytes),
+            StandInRole::Worker(name) => worker(&context, &name, &bytes),
+            StandInRole::Upstream(name) => upstream(&context, &name, &uri, &headers).await,
         };
         Ok((state, response))
     })
@@ -256,7 +256,7 @@
 }
 
 async fn store(
-    context: &PlayedContext,
+    context: &StandInContext,
     method: &Method,
     uri: &Uri,
     bytes: &[u8],
@@ -290,7 +290,7 @@
 }
 
 /// Body is `none`, `down` or `lost-answers`.
-fn set_fault(context: &PlayedContext, bytes: &[u8]) -> Response<Body> {
+fn set_fault(context: &StandInContext, bytes: &[u8]) -> Response<Body> {
     let fault = match bytes {
         b"none" => StoreFault::None,
         b"down" => StoreFault::Down,
@@ -302,7 +302,7 @@
     empty(StatusCode::NO_CONTENT)
 }
 
-async fn watch_key(context: &PlayedContext, uri: &Uri, key: &str) -> Response<Body> {
+async fn watch_key(context: &StandInContext, uri: &Uri, key: &str) -> Response<Body> {
     let after = query(uri, "after").unwrap_or(0);
     let wait = Duration::from_millis(query(uri, "wait_ms").unwrap_or(0));
     let mut changed = context.changed.subscribe();
@@ -328,7 +328,7 @@
 
 /// The list; a PUT replaces it.
 fn vms(
-    context: &PlayedContext,
+    context: &StandInContext,
     method: &Method,
     headers: &HeaderMap,
     bytes: &[u8],
@@ -354,7 +354,7 @@
     response
 }
 
-fn worker(context: &PlayedContext, name: &str, bytes: &[u8]) -> Response<Body> {
+fn worker(context: &StandInContext, name: &str, bytes: &[u8]) -> Response<Body> {
     let Ok(request) = serde_json::from_slice(bytes) else {
         return empty(StatusCode::BAD_REQUEST);
     };
@@ -367,7 +367,7 @@
 
 /// Ends a request when its connection closes before the answer.
 struct OpenRequest {
-    context: PlayedContext,
+    context: StandInContext,
     name: String,
     answered: bool,
 }
@@ -382,7 +382,7 @@
 
 /// Works for `work_ms` and echoes what tells the request; `x-mark` names it across attempts.
 async fn upstream(
-    context: &PlayedContext,
+    context: &StandInContext,
     name: &str,
     uri: &Uri,
     headers: &HeaderMap,
--- a/src/standin/settings.rs
+++ b/src/standin/settings.rs
@@ -2,12 +2,12 @@
 
 use std::net::SocketAddr;
 
+use crate::diagnostic::DiagnosticList;
 use crate::domain::{VmRecord, VmRole};
-use crate::finding::FindingList;
-use crate::reader::{FindingSink, TableReader};
+use crate::reader::{DiagnosticSink, TableReader};
 use crate::resources::ResourceVector;
 
-type Result<T> = std::result::Result<T, FindingList>;
+type Result<T> = std::result::Result<T, DiagnosticList>;
 
 /// A VM that is played.
 pub type StandInVm = VmRecord;
@@ -29,7 +29,7 @@
     /// # Errors
     /// All findings, in order of place.
     pub fn parse(source: &str, text: &str) -> Result<Self> {
-        let (table, mut sink) = FindingSink::parse(source, text);
+        let (table, mut sink) = DiagnosticSink::parse(source, text);
         let mut reader = TableReader::new(&table);
         let store = reader.parsed("store", ADDRESS, &mut sink);
         let vms = reader.parsed("vms", ADDRESS, &mut sink);
@@ -56,7 +56,7 @@
 
 fn read_vm(
     reader: &mut TableReader<'_, '_>,
-    sink: &mut FindingSink<'_>,
+    sink: &mut DiagnosticSink<'_>,
     role: Option<VmRole>,
 ) -> Option<VmRecord> {
     let id = reader.string("name", sink);
@@ -73,7 +73,10 @@
     })
 }
 
-fn read_worker(reader: &mut TableReader<'_, '_>, sink: &mut FindingSink<'_>) -> Option<VmRecord> {
+fn read_worker(
+    reader: &mut TableReader<'_, '_>,
+    sink: &mut DiagnosticSink<'_>,
+) -> Option<VmRecord> {
     let most = u64::from(u32::MAX);
     let millicores = reader.integer("processors_milli", 1..=most, None, sink);
     let memory = reader.integer("memory_mib", 1..=most, None, sink);
@@ -89,7 +92,10 @@
     read_vm(reader, sink, role)
 }
 
-fn read_upstream(reader: &mut TableReader<'_, '_>, sink: &mut FindingSink<'_>) -> Option<VmRecord> {
+fn read_upstream(
+    reader: &mut TableReader<'_, '_>,
+    sink: &mut DiagnosticSink<'_>,
+) -> Option<VmRecord> {
     let service = reader.string("service", sink);
     let slots = reader.integer("slots", 1..=1_000, Some(8), sink);
     let role = match (service, slots) {
