--- a/tests/decisions/world.rs
+++ b/tests/decisions/world.rs
@@ -401,7 +401,7 @@
                     state.router.apply(self.now, &grant);
                 }
             }
-            DomainAction::Leaving(_) | DomainAction::Rooms(_) => {}
+            DomainAction::Leaving(_) | DomainAction::PeerSlots(_) => {}
         }
     }
 
--- a/tests/graph/advice.rs
+++ b/tests/graph/advice.rs
@@ -3,21 +3,21 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use kelplink::{AdviceDesk, AdviceWish, EntryId, StepKey, WorkerId};
+use kelplink::{AdviceRequest, AdviceTable, EntryId, StepKey, WorkerId};
 use tokio::time::Instant;
 
 use crate::world::rule;
 
 /// Asks about workers and allows those whose number can be divided by three.
-fn ask(desk: &mut AdviceDesk, now: Instant, workers: &[WorkerId]) {
+fn ask(desk: &mut AdviceTable, now: Instant, workers: &[WorkerId]) {
     let queue = rule("asked", 1, true);
-    let wish = AdviceWish {
+    let request = AdviceRequest {
         key: ("a".into(), StepKey { occurrence: 0, step: 0 }),
         queue: queue.id.clone(),
         rule: queue.advice.unwrap(),
         workers: workers.to_vec(),
     };
-    let call = desk.assign(now, vec![wish]).remove(0);
+    let call = desk.assign(now, vec![request]).remove(0);
     let allowed = workers.iter().filter(|worker| worker[1..].parse::<u32>().unwrap() % 3 == 0);
     let allowed = allowed.map(|worker| (worker.clone(), "ticket".into())).collect();
     desk.answered(now, call.id, Some(allowed), Duration::ZERO);
@@ -30,7 +30,7 @@
 fn the_share_of_allowed_workers_is_not_learned_from_renewals() {
     let now = Instant::now();
     let workers: Vec<WorkerId> = (0..30).map(|number| format!("w{number}").into()).collect();
-    let mut desk = AdviceDesk::default();
+    let mut desk = AdviceTable::default();
     desk.set_entries([EntryId::from("e0")].into());
     for chunk in workers.chunks(3) {
         ask(&mut desk, now, chunk);
--- a/tests/graph/cancellation.rs
+++ b/tests/graph/cancellation.rs
@@ -5,7 +5,8 @@
 
 use googletest::prelude::*;
 use kelplink::{
-    CallFailure, GraphAnswer, GraphState, RepeatRule, RunNumber, StepSpec, WorkerId, WorkerListing,
+    CallFailure, GraphAnswer, GraphState, RepeatRule, RunNumber, StepSpec, WorkerId,
+    WorkerRegistration,
 };
 
 use crate::model::{ModelRun, ModelWorker};
@@ -226,10 +227,10 @@
     cancel(&mut world, "a");
     let id: WorkerId = "w0-0".into();
     let now = world.now;
-    world.leader().unwrap().worker_unlisted(now, &id);
+    world.leader().unwrap().worker_unregistered(now, &id);
     world.run(seconds(3));
-    let (now, listing) = (world.now, world.workers[&id].listing.clone());
-    world.leader().unwrap().worker_listed(now, listing);
+    let (now, registration) = (world.now, world.workers[&id].registration.clone());
+    world.leader().unwrap().worker_registered(now, registration);
     world.run(millis(220));
     expect_that!(runs_of(&world, "a"), eq(1));
     world.fates.lost_stops = 0;
@@ -247,12 +248,12 @@
     world.run(millis(200));
     cancel(&mut world, "a");
     let id: WorkerId = "w0-0".into();
-    let (now, mut listing) = (world.now, world.workers[&id].listing.clone());
-    listing.leaving = Some(seconds(1));
-    world.leader().unwrap().worker_listed(now, listing);
+    let (now, mut registration) = (world.now, world.workers[&id].registration.clone());
+    registration.leaving = Some(seconds(1));
+    world.leader().unwrap().worker_registered(now, registration);
     world.run(seconds(2));
     let now = world.now;
-    world.leader().unwrap().worker_unlisted(now, &id);
+    world.leader().unwrap().worker_unregistered(now, &id);
     world.run(millis(1_220));
     expect_that!(runs_of(&world, "a"), eq(1));
     world.fates.lost_stops = 0;
@@ -332,10 +333,10 @@
 
 /// A worker whose only task was begun after it came back under another name, and the registration that it left
 /// under the earlier one.
-fn replaced_worker(seed: u64) -> (World, WorkerListing) {
+fn replaced_worker(seed: u64) -> (World, WorkerRegistration) {
     let mut world = World::new(seed, 1);
     world.run(seconds(1));
-    let stale = only_worker(&mut world).listing.clone();
+    let stale = only_worker(&mut world).registration.clone();
     world.add_worker(0, 1);
     world.run(seconds(1));
     world.submit("later", "a", vec![step(1, 1, 60_000)]);
@@ -353,7 +354,7 @@
 fn a_registration_that_a_worker_left_behind_does_not_end_its_present_life() {
     let (mut world, stale) = replaced_worker(56);
     let now = world.now;
-    world.leader().unwrap().worker_listed(now, stale);
+    world.leader().unwrap().worker_registered(now, stale);
     world.run(seconds(2));
     expect_that!(world.begun_runs, eq(1));
     cancel(&mut world, "a");
@@ -373,9 +374,9 @@
     world.elect();
     world.workers.get_mut(&id).unwrap().up = true;
     world.workers.get_mut(&id).unwrap().reached = false;
-    let (now, present) = (world.now, world.workers[&id].listing.clone());
-    world.leader().unwrap().worker_listed(now, stale);
-    world.leader().unwrap().worker_listed(now, present);
+    let (now, present) = (world.now, world.workers[&id].registration.clone());
+    world.leader().unwrap().worker_registered(now, stale);
+    world.leader().unwrap().worker_registered(now, present);
     world.run(millis(700));
     world.workers.get_mut(&id).unwrap().reached = true;
     world.run(seconds(2));
@@ -396,12 +397,12 @@
     world.run(millis(300));
     world.add_worker(1, 0);
     let id: WorkerId = "w0-0".into();
-    let (now, mut listing) = (world.now, world.workers[&id].listing.clone());
-    listing.leaving = Some(millis(300));
-    world.leader().unwrap().worker_listed(now, listing);
+    let (now, mut registration) = (world.now, world.workers[&id].registration.clone());
+    registration.leaving = Some(millis(300));
+    world.leader().unwrap().worker_registered(now, registration);
     world.run(seconds(1));
     let now = world.now;
-    world.leader().unwrap().worker_unlisted(now, &id);
+    world.leader().unwrap().worker_unregistered(now, &id);
     only_worker(&mut world).reached = false;
     let (now, unix) = (world.now, world.unix());
     world.leader().unwrap().polled(now, unix, &id, Err(CallFailure::NotSent));
@@ -417,12 +418,12 @@
     world.run(millis(300));
     world.add_worker(1, 0);
     let id: WorkerId = "w0-0".into();
-    let (now, mut listing) = (world.now, world.workers[&id].listing.clone());
-    listing.leaving = Some(millis(300));
-    world.leader().unwrap().worker_listed(now, listing);
+    let (now, mut registration) = (world.now, world.workers[&id].registration.clone());
+    registration.leaving = Some(millis(300));
+    world.leader().unwrap().worker_registered(now, registration);
     world.run(seconds(1));
     let now = world.now;
-    world.leader().unwrap().worker_unlisted(now, &id);
+    world.leader().unwrap().worker_unregistered(now, &id);
     only_worker(&mut world).up = false;
     let (now, unix) = (world.now, world.unix());
     world.leader().unwrap().polled(now, unix, &id, Err(CallFailure::NothingThere));
--- a/tests/graph/cases.rs
+++ b/tests/graph/cases.rs
@@ -214,7 +214,7 @@
     world.run(seconds(1));
     world.store.up = false;
     world.store.refuses = true;
-    world.patience = Duration::from_millis(200);
+    world.caller_timeout = Duration::from_millis(200);
     let call = world.submit("now", "a", vec![step(2, 1, 500)]);
     world.run(Duration::from_millis(180));
     expect_that!(world.answers.get(&call), some(matches_pattern!(GraphAnswer::Rejected(_))));
@@ -251,9 +251,9 @@
     world.submit("now", "a", vec![step(1, 1, 500)]);
     world.run(Duration::from_millis(300));
     let now = world.now;
-    let mut listing = world.workers.values().next().unwrap().listing.clone();
-    listing.leaving = Some(seconds(2));
-    world.leader().unwrap().worker_listed(now, listing);
+    let mut registration = world.workers.values().next().unwrap().registration.clone();
+    registration.leaving = Some(seconds(2));
+    world.leader().unwrap().worker_registered(now, registration);
     world.store.up = false;
     world.run(seconds(1));
     expect_that!(world.state("a"), some(eq(GraphState::Running)));
@@ -310,7 +310,8 @@
 fn domains_of(world: &World, job: &str) -> Vec<String> {
     let runs = |worker: &&ModelWorker| worker.runs.keys().any(|task| &*task.job == job);
     let used = world.workers.values().filter(runs);
-    let mut domains: Vec<String> = used.map(|worker| worker.listing.domain.to_string()).collect();
+    let mut domains: Vec<String> =
+        used.map(|worker| worker.registration.domain.to_string()).collect();
     domains.sort();
     domains.dedup();
     domains
@@ -347,7 +348,8 @@
         world.run(Duration::from_millis(100));
     }
     let cut = domains_of(&world, "a");
-    for worker in world.workers.values_mut().filter(|worker| cut[0] == *worker.listing.domain) {
+    for worker in world.workers.values_mut().filter(|worker| cut[0] == *worker.registration.domain)
+    {
         worker.reached = false;
     }
     let elsewhere: Vec<&str> = ["b", "c", "d"]
@@ -427,10 +429,11 @@
         let mut world = World::spread(24, 6, 2);
         // Two large workers in one domain, three small ones with the label in the other.
         world.workers.remove("w0-0");
-        let small = world.workers.values_mut().filter(|worker| &*worker.listing.domain == "d1");
+        let small =
+            world.workers.values_mut().filter(|worker| &*worker.registration.domain == "d1");
         for worker in small {
-            worker.listing.capacity = ResourceVector::new(4_000, 16_000, 0);
-            worker.listing.labels.push("special".into());
+            worker.registration.capacity = ResourceVector::new(4_000, 16_000, 0);
+            worker.registration.labels.push("special".into());
         }
         world.elect();
         world.run(seconds(1));
--- a/tests/graph/checker.rs
+++ b/tests/graph/checker.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use kelplink::{GraphRecord, LifeStart, RunNumber, StepKey, TaskName, WorkerId};
+use kelplink::{GraphRecord, InstanceStart, RunNumber, StepKey, TaskName, WorkerId};
 
 use crate::model::ModelWorker;
 
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct CrashChecker {
     /// Lives of workers that crashed while a task ran on them.
-    crashed: BTreeMap<TaskName, BTreeSet<(WorkerId, LifeStart)>>,
+    crashed: BTreeMap<TaskName, BTreeSet<(WorkerId, InstanceStart)>>,
     /// Starts of tasks that crash their workers, by leaders in touch, after the last crash that is allowed.
     starts: BTreeMap<TaskName, u32>,
     /// Runs that workers listed as failed.
@@ -27,8 +27,8 @@
 impl CrashChecker {
     /// A worker has crashed with a task on it.
     pub(crate) fn note_crash(&mut self, worker: &ModelWorker, task: &TaskName) {
-        let life = (worker.id().clone(), worker.listing.born);
-        self.crashed.entry(task.clone()).or_default().insert(life);
+        let instance = (worker.id().clone(), worker.registration.instance_start);
+        self.crashed.entry(task.clone()).or_default().insert(instance);
     }
 
     /// A worker lists a run as failed.
--- a/tests/graph/crashes.rs
+++ b/tests/graph/crashes.rs
@@ -262,7 +262,7 @@
     world.leaders.remove(&epoch);
     world.run(seconds(3));
     world.elect();
-    while !world.leader().unwrap().lives().get(&held).unwrap().claimed {
+    while !world.leader().unwrap().instances().get(&held).unwrap().claimed {
         world.run(Duration::from_millis(5));
     }
     world.workers.get_mut(&held).unwrap().reached = false;
@@ -292,7 +292,7 @@
     expect_true!(world.workers[&held].runs.is_empty(), "its runs go on");
     let number = held[1..2].parse().unwrap();
     world.add_worker(number, 1);
-    while world.leader().unwrap().lives().get(&held).is_some() {
+    while world.leader().unwrap().instances().get(&held).is_some() {
         world.run(Duration::from_millis(5));
     }
     world.run(Duration::from_millis(50));
--- a/tests/graph/found.rs
+++ b/tests/graph/found.rs
@@ -15,7 +15,7 @@
 fn a_late_registration_of_an_earlier_life_ends_no_run_of_the_newer() {
     let mut world = World::new(41, 1);
     world.run(seconds(1));
-    let earlier = world.workers["w0-0"].listing.clone();
+    let earlier = world.workers["w0-0"].registration.clone();
     world.add_worker(0, 1);
     world.run(seconds(1));
     world.submit("later", "a", vec![step(2, 2, 1_500)]);
@@ -24,7 +24,7 @@
     world.add_worker(1, 0);
     world.run(Duration::from_millis(300));
     let now = world.now;
-    world.leader().unwrap().worker_listed(now, earlier);
+    world.leader().unwrap().worker_registered(now, earlier);
     world.run(seconds(2));
     expect_that!(world.state("a"), some(eq(GraphState::Completed)));
     expect_that!(world.begun_runs, eq(2));
--- a/tests/graph/lasting.rs
+++ b/tests/graph/lasting.rs
@@ -70,7 +70,7 @@
     // Its registration ends some heartbeats later.
     world.run(seconds(4));
     let now = world.now;
-    world.leader().unwrap().worker_unlisted(now, &id);
+    world.leader().unwrap().worker_unregistered(now, &id);
     world.run(seconds(2));
     expect_that!(runs_of(&world, "a") + runs_of(&world, "b"), eq(8));
     expect_that!(world.store.workers.iter().any(|used| used.id == id), eq(false));
@@ -89,7 +89,7 @@
     gone.up = false;
     let id = gone.id().clone();
     let now = world.now;
-    world.leader().unwrap().worker_unlisted(now, &id);
+    world.leader().unwrap().worker_unregistered(now, &id);
     world.run(seconds(6));
     expect_that!(runs_of(&world, "a"), eq(4));
     let chain = vec![step(1, 1, 500), StepSpec { after: vec![0], ..step(1, 1, 300) }];
--- a/tests/graph/links.rs
+++ b/tests/graph/links.rs
@@ -11,7 +11,7 @@
 fn worker_of(world: &World, job: &str) -> WorkerId {
     let mut workers = world.workers.values();
     let holds = workers.find(|worker| worker.runs.keys().any(|task| &*task.job == job));
-    holds.map(|worker| worker.listing.id.clone()).unwrap()
+    holds.map(|worker| worker.registration.id.clone()).unwrap()
 }
 
 fn set_reached(world: &mut World, worker: &WorkerId, reached: bool) {
--- a/tests/graph/model.rs
+++ b/tests/graph/model.rs
@@ -5,7 +5,7 @@
 
 use kelplink::{
     EndKind, EndReport, LeaderEpoch, PollReply, ResourceVector, RunNumber, RunReport, TaskName,
-    WorkerId, WorkerListing, WorkerRefusal,
+    WorkerId, WorkerRefusal, WorkerRegistration,
 };
 use tokio::time::Instant;
 
@@ -28,7 +28,7 @@
 /// A worker.
 #[derive(Clone, Debug)]
 pub(crate) struct ModelWorker {
-    pub(crate) listing: WorkerListing,
+    pub(crate) registration: WorkerRegistration,
     /// Its room since a moment, oldest first.
     rooms: Vec<(Instant, ResourceVector)>,
     pub(crate) up: bool,
@@ -55,10 +55,10 @@
 }
 
 impl ModelWorker {
-    pub(crate) fn new(listing: WorkerListing, now: Instant, rate: u32) -> Self {
+    pub(crate) fn new(registration: WorkerRegistration, now: Instant, rate: u32) -> Self {
         Self {
-            rooms: vec![(now, listing.capacity)],
-            listing,
+            rooms: vec![(now, registration.capacity)],
+            registration,
             up: true,
             reached: true,
             rate,
@@ -77,13 +77,18 @@
     }
 
     /// The same machine in another life: its room stays, and so does the time that a change of it takes to be heard.
-    pub(crate) fn next_life(&self, listing: WorkerListing, now: Instant, rate: u32) -> Self {
+    pub(crate) fn next_instance(
+        &self,
+        registration: WorkerRegistration,
+        now: Instant,
+        rate: u32,
+    ) -> Self {
         let (rooms, reached) = (self.rooms.clone(), self.reached);
-        Self { rooms, reached, ..Self::new(listing, now, rate) }
+        Self { rooms, reached, ..Self::new(registration, now, rate) }
     }
 
     pub(crate) fn id(&self) -> &WorkerId {
-        &self.listing.id
+        &self.registration.id
     }
 
     pub(crate) fn clock(&self, now: Instant) -> Duration {
@@ -97,7 +102,7 @@
 
     /// Its room is another from now on, and it says so with its next heartbeat.
     pub(crate) fn resize(&mut self, now: Instant, room: ResourceVector) {
-        self.listing.capacity = room;
+        self.registration.capacity = room;
         self.rooms.push((now, room));
     }
 
@@ -183,11 +188,11 @@
             run: run.run,
             saved: String::new(),
             percent: self.percent(run, now),
-            figure: 0,
+            measurement: 0,
         });
         let running = running.collect();
         PollReply {
-            born: self.listing.born,
+            instance_start: self.registration.instance_start,
             clock: self.clock(now),
             running,
             ended: self.ends.clone(),
--- a/tests/graph/random.rs
+++ b/tests/graph/random.rs
@@ -49,7 +49,7 @@
     /// Whether there are such jobs, and rooms that change.
     crashes: bool,
     zombies: u32,
-    lives: u32,
+    instances: u32,
 }
 
 impl RandomRun {
@@ -77,7 +77,7 @@
             calls: Vec::new(),
             cancelled: BTreeSet::new(),
             zombies: 0,
-            lives: 0,
+            instances: 0,
         }
     }
 
@@ -199,9 +199,9 @@
 
     fn crash_worker(&mut self) {
         let number = self.pick(WORKERS);
-        self.lives += 1;
-        let life = self.lives;
-        self.world.replace_worker(number, life);
+        self.instances += 1;
+        let instance = self.instances;
+        self.world.replace_worker(number, instance);
     }
 
     /// All faults end, and everything that was accepted comes to its end.
--- a/tests/graph/random_cancellation.rs
+++ b/tests/graph/random_cancellation.rs
@@ -26,7 +26,7 @@
     world: World,
     jobs: Vec<String>,
     submitted: u32,
-    lives: u32,
+    instances: u32,
 }
 
 impl CancelRun {
@@ -35,7 +35,7 @@
         if seed >= RESTART_SEEDS {
             world.keep_ids(seed);
         }
-        Self { world, jobs: Vec::new(), submitted: 0, lives: 0 }
+        Self { world, jobs: Vec::new(), submitted: 0, instances: 0 }
     }
 
     fn pick(&mut self, most: u32) -> u32 {
@@ -84,13 +84,13 @@
     fn unregister(&mut self) {
         let (id, now) = (self.some_worker(), self.world.now);
         if let Some(leader) = self.world.leader() {
-            leader.worker_unlisted(now, &id);
+            leader.worker_unregistered(now, &id);
         }
         self.pass(6_000);
         let now = self.world.now;
-        let listing = self.world.workers.get(&id).map(|worker| worker.listing.clone());
-        if let (Some(listing), Some(leader)) = (listing, self.world.leader()) {
-            leader.worker_listed(now, listing);
+        let registration = self.world.workers.get(&id).map(|worker| worker.registration.clone());
+        if let (Some(registration), Some(leader)) = (registration, self.world.leader()) {
+            leader.worker_registered(now, registration);
         }
     }
 
@@ -99,12 +99,12 @@
         let (number, now) = (self.pick(WORKERS), self.world.now);
         let prefix = format!("w{number}-");
         let old = self.world.workers.iter().find(|(id, _)| id.starts_with(&prefix));
-        let stale = old.map(|(_, worker)| worker.listing.clone());
-        self.lives += 1;
-        let life = self.lives;
-        self.world.replace_worker(number, life);
+        let stale = old.map(|(_, worker)| worker.registration.clone());
+        self.instances += 1;
+        let instance = self.instances;
+        self.world.replace_worker(number, instance);
         if let (Some(stale), Some(leader)) = (stale, self.world.leader()) {
-            leader.worker_listed(now, stale);
+            leader.worker_registered(now, stale);
         }
     }
 
--- a/tests/graph/random_shards.rs
+++ b/tests/graph/random_shards.rs
@@ -40,7 +40,7 @@
     calls: Vec<(u64, String)>,
     lasting: BTreeMap<String, u32>,
     cancelled: BTreeSet<String>,
-    lives: u32,
+    instances: u32,
 }
 
 impl ShardRun {
@@ -52,7 +52,7 @@
         }
         let shards = world.plan.shards();
         let (calls, lasting, cancelled) = Default::default();
-        Self { world, shards, calls, lasting, cancelled, lives: 0 }
+        Self { world, shards, calls, lasting, cancelled, instances: 0 }
     }
 
     fn pick(&mut self, most: u32) -> u32 {
@@ -119,9 +119,9 @@
             7 => self.reach_all(),
             8 => {
                 let number = self.pick(WORKERS);
-                self.lives += 1;
-                let life = self.lives;
-                self.world.replace_worker(number, life);
+                self.instances += 1;
+                let instance = self.instances;
+                self.world.replace_worker(number, instance);
             }
             9 => {
                 self.world.store.up = !self.world.store.up;
--- a/tests/graph/registrations.rs
+++ b/tests/graph/registrations.rs
@@ -4,17 +4,17 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use kelplink::{GraphState, WorkerId, WorkerListing};
+use kelplink::{GraphState, WorkerId, WorkerRegistration};
 
 use crate::world::{World, rule, seconds, step};
 
-fn listing_of(world: &World, worker: &str) -> WorkerListing {
-    world.workers[worker].listing.clone()
+fn registration_of(world: &World, worker: &str) -> WorkerRegistration {
+    world.workers[worker].registration.clone()
 }
 
-fn list(world: &mut World, listing: WorkerListing) {
+fn list(world: &mut World, registration: WorkerRegistration) {
     let now = world.now;
-    world.leader().unwrap().worker_listed(now, listing);
+    world.leader().unwrap().worker_registered(now, registration);
 }
 
 /// An entry under another id at a worker's address ended that worker's life at once: its tasks were
@@ -27,10 +27,10 @@
         world.run(seconds(1));
         world.submit("now", "a", vec![step(6, 2, 3_000)]);
         world.run(seconds(1));
-        let copy = WorkerListing {
+        let copy = WorkerRegistration {
             id: "x0".into(),
             service: service.into(),
-            ..listing_of(&world, "w0-0")
+            ..registration_of(&world, "w0-0")
         };
         list(&mut world, copy);
         world.run(seconds(4));
@@ -39,7 +39,7 @@
         world.submit("now", "b", vec![step(12, 2, 500)]);
         world.run(seconds(2));
         expect_that!(world.state("b"), some(eq(GraphState::Completed)), "{service}");
-        let known = world.leader().unwrap().lives().get(&WorkerId::from("x0")).is_some();
+        let known = world.leader().unwrap().instances().get(&WorkerId::from("x0")).is_some();
         expect_false!(known, "{service}");
     }
 }
@@ -54,8 +54,8 @@
     world.run(seconds(1));
     world.add_worker(0, 1);
     world.run(seconds(1));
-    let lives = world.leader().unwrap().lives();
-    expect_false!(lives.get(&WorkerId::from("w0-0")).is_some());
+    let instances = world.leader().unwrap().instances();
+    expect_false!(instances.get(&WorkerId::from("w0-0")).is_some());
     expect_true!(world.workers["w0-1"].was_given("a"));
 }
 
@@ -67,16 +67,16 @@
     world.run(seconds(1));
     world.submit("now", "a", vec![step(2, 8, 2_000)]);
     world.run(seconds(1));
-    let whole = listing_of(&world, "w0-0");
-    let foreign = WorkerListing { service: "foreign".into(), ..whole.clone() };
+    let whole = registration_of(&world, "w0-0");
+    let foreign = WorkerRegistration { service: "foreign".into(), ..whole.clone() };
     list(&mut world, foreign.clone());
-    let unknown = WorkerListing {
+    let unknown = WorkerRegistration {
         id: "x0".into(),
         address: "10.0.9.9:80".parse().unwrap(),
         ..foreign.clone()
     };
     list(&mut world, unknown);
-    let known = world.leader().unwrap().lives().get(&WorkerId::from("x0")).is_some();
+    let known = world.leader().unwrap().instances().get(&WorkerId::from("x0")).is_some();
     expect_false!(known);
     world.run(Duration::from_millis(1_400));
     expect_that!(world.state("a"), some(eq(GraphState::Completed)));
@@ -114,14 +114,14 @@
     world.submit("now", "a", vec![step(2, 8, 9_000)]);
     world.run(seconds(1));
     let now = world.now;
-    world.leader().unwrap().worker_unlisted(now, &"w0-0".into());
+    world.leader().unwrap().worker_unregistered(now, &"w0-0".into());
     world.run(seconds(9));
     expect_that!(world.state("a"), some(eq(GraphState::Completed)));
     expect_that!(world.begun_runs, eq(2));
     world.submit("now", "b", vec![step(2, 8, 500)]);
     world.run(Duration::from_millis(400));
     expect_false!(world.workers["w0-0"].was_given("b"));
-    let whole = listing_of(&world, "w0-0");
+    let whole = registration_of(&world, "w0-0");
     list(&mut world, whole);
     world.run(Duration::from_millis(200));
     expect_true!(world.workers["w0-0"].was_given("b"));
--- a/tests/graph/restarts.rs
+++ b/tests/graph/restarts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use kelplink::{GraphState, LifeId, ResourceVector, StepSpec, WorkerId};
+use kelplink::{GraphState, InstanceId, ResourceVector, StepSpec, WorkerId};
 
 use crate::world::{World, runs_of, seconds, step};
 
@@ -20,8 +20,8 @@
     world.crash_and_restart(&worker.into(), AWAY);
 }
 
-fn life_of(world: &World, worker: &WorkerId) -> LifeId {
-    LifeId::new(worker.clone(), world.workers[worker].listing.born)
+fn instance_of(world: &World, worker: &WorkerId) -> InstanceId {
+    InstanceId::new(worker.clone(), world.workers[worker].registration.instance_start)
 }
 
 fn lasting(count: u32) -> StepSpec {
@@ -152,11 +152,11 @@
     world.submit("now", "a", vec![step(2, 1, 5_000)]);
     world.run(Duration::from_millis(50));
     let (now, id) = (world.now, WorkerId::from("w0-0"));
-    let (clock, life) = (world.workers[&id].clock(now), life_of(&world, &id));
+    let (clock, instance) = (world.workers[&id].clock(now), instance_of(&world, &id));
     let leader = world.leader().unwrap();
     for (task, behind) in [("a.0.0.1", 0), ("a.0.0.0", 3)] {
         let answer = Ok(clock - Duration::from_millis(behind));
-        leader.started(now, &life, &task.parse().unwrap(), 1, answer);
+        leader.started(now, &instance, &task.parse().unwrap(), 1, answer);
     }
     world.submit("now", "b", vec![step(1, 1, 5_000)]);
     world.run(Duration::from_millis(100));
@@ -240,11 +240,11 @@
 #[gtest]
 fn an_old_registration_brings_no_earlier_life_back() {
     let mut world = world(68, 1);
-    let old = world.workers[&WorkerId::from("w0-0")].listing.clone();
+    let old = world.workers[&WorkerId::from("w0-0")].registration.clone();
     restart(&mut world, "w0-0");
     world.run(seconds(2));
     let now = world.now;
-    world.leader().unwrap().worker_listed(now, old);
+    world.leader().unwrap().worker_registered(now, old);
     world.submit("now", "a", vec![step(4, 1, 300)]);
     world.run(seconds(3));
     expect_that!(world.state("a"), some(eq(GraphState::Completed)));
--- a/tests/graph/shards.rs
+++ b/tests/graph/shards.rs
@@ -81,7 +81,7 @@
     for number in 0..50 {
         let entry = EntryId::from(format!("e{number}"));
         let helped = plan.shards();
-        let helped = helped.iter().filter(|shard| plan.is_helped_by(shard, &entry, &"d0".into()));
+        let helped = helped.iter().filter(|shard| plan.is_advised_by(shard, &entry, &"d0".into()));
         expect_that!(helped.count(), eq(1));
     }
 }
@@ -91,7 +91,7 @@
     let plan = fleet(&[220; 5]);
     let mut seconds = BTreeSet::new();
     for number in 0..40 {
-        let order = plan.order_for(&"d2".into(), &format!("{number}").into());
+        let order = plan.shard_order(&"d2".into(), &format!("{number}").into());
         expect_that!(&*order[0], eq("d2"));
         expect_that!(order.iter().collect::<BTreeSet<_>>().len(), eq(5));
         seconds.insert(order[1].clone());
@@ -102,7 +102,7 @@
 
 #[gtest]
 fn a_plan_reads_back_as_it_was_written() {
-    for plan in [ShardPlan::whole(), fleet(&[220; 5]), fleet(&[1_000, 200])] {
+    for plan in [ShardPlan::undivided(), fleet(&[220; 5]), fleet(&[1_000, 200])] {
         let text = serde_json::to_string(&plan).unwrap();
         expect_that!(serde_json::from_str::<ShardPlan>(&text).unwrap(), eq(&plan));
     }
@@ -239,10 +239,11 @@
 fn a_job_goes_to_the_shard_with_its_data() {
     let mut world = World::sharded(44, 12, 3);
     let all = shards(&world);
-    let worker = world.workers.values().find(|worker| &*worker.listing.domain == "d2");
-    let rack = worker.unwrap().listing.rack.clone();
+    let worker = world.workers.values().find(|worker| &*worker.registration.domain == "d2");
+    let rack = worker.unwrap().registration.rack.clone();
     for worker in world.workers.values_mut() {
-        worker.listing.rack = format!("{}-{}", worker.listing.rack, worker.listing.domain).into();
+        worker.registration.rack =
+            format!("{}-{}", worker.registration.rack, worker.registration.domain).into();
     }
     let rack = RackId::from(format!("{rack}-d2"));
     for shard in &all {
--- a/tests/graph/stuck.rs
+++ b/tests/graph/stuck.rs
@@ -149,11 +149,12 @@
 fn a_task_that_failed_near_its_data_is_tried_elsewhere() {
     let mut world = World::new(63, 8);
     world.run(seconds(1));
-    let rack = world.workers["w0-0"].listing.rack.clone();
+    let rack = world.workers["w0-0"].registration.rack.clone();
     let near = StepSpec { label: Some((*rack).into()), ..lasting(3, 8) };
     world.submit("now", "full", vec![near]);
     world.run(seconds(1));
-    let left = |worker: &&mut ModelWorker| worker.listing.rack == rack && worker.runs.is_empty();
+    let left =
+        |worker: &&mut ModelWorker| worker.registration.rack == rack && worker.runs.is_empty();
     world.workers.values_mut().find(left).unwrap().spoils = true;
     world.submit("now", "a", vec![StepSpec { affinity: Some(rack), ..step(1, 1, 100) }]);
     world.run(seconds(5));
@@ -185,9 +186,9 @@
     world.run(seconds(1));
     let id: WorkerId = "w0-0".into();
     let now = world.now;
-    world.leader().unwrap().worker_unlisted(now, &id);
+    world.leader().unwrap().worker_unregistered(now, &id);
     world.run(seconds(10));
-    expect_that!(world.leader().unwrap().lives().get(&id).is_some(), eq(false));
+    expect_that!(world.leader().unwrap().instances().get(&id).is_some(), eq(false));
     expect_that!(world.store.workers.iter().any(|used| used.id == id), eq(false));
 }
 
@@ -221,7 +222,7 @@
     world.run(Duration::from_millis(500));
     let racks = |world: &World| {
         let busy = world.workers.values().filter(|w| w.runs.keys().any(|task| &*task.job == "b"));
-        busy.map(|worker| worker.listing.rack.clone()).collect::<BTreeSet<_>>().len()
+        busy.map(|worker| worker.registration.rack.clone()).collect::<BTreeSet<_>>().len()
     };
     expect_that!(racks(&world), le(1));
 }
--- a/tests/graph/takeover.rs
+++ b/tests/graph/takeover.rs
@@ -5,7 +5,7 @@
 
 use googletest::prelude::*;
 use kelplink::{
-    GraphProgress, GraphState, LifeId, RunTrial, StepKey, StepSpec, TaskKey, WorkerId,
+    GraphProgress, GraphState, InstanceId, StepKey, StepSpec, SuspectRun, TaskKey, WorkerId,
     WorkerRefusal,
 };
 
@@ -58,9 +58,9 @@
     told(&mut world)
 }
 
-fn trial() -> RunTrial {
+fn suspect_run() -> SuspectRun {
     let address = "10.0.0.1:80".parse().unwrap();
-    RunTrial { run: 1, worker: "w0-0".into(), address, born: None }
+    SuspectRun { run: 1, worker: "w0-0".into(), address, instance_start: None }
 }
 
 const WAITS: (Option<GraphState>, usize) = (Some(GraphState::Queued), 1);
@@ -185,7 +185,7 @@
 #[gtest]
 fn a_start_that_may_have_crashed_its_worker_is_no_begun_task() {
     let told = told_of(80, |progress| {
-        progress.note_trial(TASK, trial());
+        progress.note_suspect_run(TASK, suspect_run());
     });
     expect_that!(told, eq(WAITS));
 }
@@ -201,7 +201,7 @@
 #[gtest]
 fn all_notes_of_starts_that_may_not_have_arrived_are_no_begun_task() {
     let told = told_of(82, |progress| {
-        progress.note_trial(TASK, RunTrial { run: 2, ..trial() });
+        progress.note_suspect_run(TASK, SuspectRun { run: 2, ..suspect_run() });
         progress.crashes.insert(TASK, BTreeMap::from([(1, false)]));
         progress.floors.insert(TASK, 2);
         progress.domains.insert("d1".into());
@@ -328,8 +328,9 @@
     expect_that!(told(&mut world), eq(WAITS));
     let (now, worker, task) = (world.now, WorkerId::from("w0-0"), "a.0.0.0".parse().unwrap());
     let (run, clock) = (world.workers[&worker].runs[&task].run, world.workers[&worker].clock(now));
-    let life = LifeId::new(worker.clone(), world.workers[&worker].listing.born);
-    world.leader().unwrap().started(now, &life, &task, run, Ok(clock));
+    let instance =
+        InstanceId::new(worker.clone(), world.workers[&worker].registration.instance_start);
+    world.leader().unwrap().started(now, &instance, &task, run, Ok(clock));
     expect_that!(told(&mut world), eq(BEGUN));
 }
 
--- a/tests/graph/unread_registrations.rs
+++ b/tests/graph/unread_registrations.rs
@@ -12,7 +12,11 @@
 use crate::world::{World, runs_of, seconds, step};
 
 fn bounds() -> GraphBounds {
-    GraphBounds { longest_lease: seconds(6), remembered: seconds(120), blind: seconds(5) }
+    GraphBounds {
+        longest_lease: seconds(6),
+        retention: seconds(120),
+        lease_extension_window: seconds(5),
+    }
 }
 
 /// Three shards, and the one that [`take_over`] has a new leader for.
@@ -38,14 +42,14 @@
 /// The leader reads the registrations of its own shard, or, after these, of the others.
 fn read(world: &mut World, shard: &ShardId, own: bool) {
     let (now, plan) = (world.now, world.plan.clone());
-    let listings = world.workers.values().map(|worker| worker.listing.clone());
-    let listings: Vec<_> = listings.collect();
+    let registrations = world.workers.values().map(|worker| worker.registration.clone());
+    let registrations: Vec<_> = registrations.collect();
     let leader = world.leader_in(shard).unwrap();
-    for listing in listings {
-        let place = plan.shard_of(&listing.domain, &listing.rack);
+    for registration in registrations {
+        let place = plan.shard_of(&registration.domain, &registration.rack);
         match place == *shard {
-            true if own => leader.worker_listed(now, listing),
-            false if !own => leader.worker_listed_elsewhere(place, listing),
+            true if own => leader.worker_registered(now, registration),
+            false if !own => leader.worker_registered_elsewhere(place, registration),
             _ => {}
         }
     }
@@ -60,7 +64,7 @@
     let workers: Vec<WorkerId> = workers.collect();
     let leader = world.leader_in(shard).unwrap();
     for worker in &workers {
-        leader.worker_unlisted(now, worker);
+        leader.worker_unregistered(now, worker);
     }
 }
 
@@ -102,8 +106,8 @@
 #[gtest]
 fn a_job_for_workers_elsewhere_is_not_accepted_before_the_registrations_are_read() {
     let (mut world, shard) = sharded(50, 12);
-    for worker in world.workers.values_mut().filter(|worker| &*worker.listing.domain == "d2") {
-        worker.listing.labels.push("k".into());
+    for worker in world.workers.values_mut().filter(|worker| &*worker.registration.domain == "d2") {
+        worker.registration.labels.push("k".into());
     }
     take_over(&mut world, &shard);
     read(&mut world, &shard, true);
--- a/tests/graph/waiting_checker.rs
+++ b/tests/graph/waiting_checker.rs
@@ -14,7 +14,7 @@
 
 /// When a leader was looked at.
 #[derive(Clone, Copy, Debug)]
-struct LeaderLook {
+struct LeaderCheck {
     first: Instant,
     next: Instant,
 }
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct WaitingChecker {
     begun: BTreeSet<GraphId>,
-    looks: BTreeMap<LeaderEpoch, LeaderLook>,
+    looks: BTreeMap<LeaderEpoch, LeaderCheck>,
 }
 
 impl WaitingChecker {
@@ -37,7 +37,7 @@
     /// Whether a leader, the last elected of its shard, is to be looked at: at once after its election, and every
     /// 100 ms from then on. Tells since when it was.
     pub(crate) fn due(&mut self, now: Instant, leader: LeaderEpoch) -> Option<Instant> {
-        let look = self.looks.entry(leader).or_insert(LeaderLook { first: now, next: now });
+        let look = self.looks.entry(leader).or_insert(LeaderCheck { first: now, next: now });
         let due = look.next <= now;
         if due {
             look.next = now + LOOK_GAP;
--- a/tests/graph/world.rs
+++ b/tests/graph/world.rs
@@ -23,8 +23,8 @@
 pub(crate) const LONGEST_LEASE: Duration = Duration::from_secs(6);
 const BOUNDS: GraphBounds = GraphBounds {
     longest_lease: LONGEST_LEASE,
-    remembered: Duration::from_secs(120),
-    blind: Duration::from_secs(7),
+    retention: Duration::from_secs(120),
+    lease_extension_window: Duration::from_secs(7),
 };
 /// How long after its wait a poll without an answer counts as lost.
 const POLL_SLACK: Duration = Duration::from_millis(250);
@@ -78,7 +78,7 @@
     /// Workers that advice allows every step, where it does not follow from their numbers.
     pub(crate) allowed: Option<BTreeSet<WorkerId>>,
     /// How long callers wait.
-    pub(crate) patience: Duration,
+    pub(crate) caller_timeout: Duration,
     /// Share of runs that fail, in thousandths.
     pub(crate) failing: u32,
     /// Jobs every run of which fails.
@@ -93,7 +93,7 @@
     /// Whether every worker that crashes comes back under its id.
     pub(crate) keeps_all_ids: bool,
     /// Draws which workers come back under their ids, and when; without it all have another.
-    pub(crate) lives: Option<StdRng>,
+    pub(crate) instances: Option<StdRng>,
     /// Since when the store is up and no message is lost, late or unanswered.
     calm_since: Instant,
     /// What was seen of crashes and failures.
@@ -152,12 +152,12 @@
     shard: &ShardId,
     leader: &mut GraphController,
     now: Instant,
-    listing: WorkerListing,
+    registration: WorkerRegistration,
 ) {
-    let place = plan.shard_of(&listing.domain, &listing.rack);
+    let place = plan.shard_of(&registration.domain, &registration.rack);
     match place == *shard {
-        true => leader.worker_listed(now, listing),
-        false => leader.worker_listed_elsewhere(place, listing),
+        true => leader.worker_registered(now, registration),
+        false => leader.worker_registered_elsewhere(place, registration),
     }
 }
 
@@ -175,7 +175,7 @@
 
     /// Workers that take turns among failure domains.
     pub(crate) fn spread(seed: u64, workers: u32, domains: u32) -> Self {
-        Self::divided(seed, workers, domains, ShardPlan::whole())
+        Self::divided(seed, workers, domains, ShardPlan::undivided())
     }
 
     /// Workers that take turns among failure domains, each of which is a shard.
@@ -222,7 +222,7 @@
             done: BTreeSet::new(),
             ended: BTreeMap::new(),
             allowed: None,
-            patience: Duration::from_secs(3),
+            caller_timeout: Duration::from_secs(3),
             failing: 0,
             poison: BTreeSet::new(),
             crashers: BTreeMap::new(),
@@ -230,7 +230,7 @@
             refusing: false,
             reborn: 0,
             keeps_all_ids: false,
-            lives: None,
+            instances: None,
             calm_since: now,
             checker: CrashChecker::default(),
             waiting: WaitingChecker::default(),
@@ -251,11 +251,11 @@
     }
 
     /// Starts a worker, or another life of it at the same address.
-    pub(crate) fn add_worker(&mut self, number: u32, life: u32) {
-        let id: WorkerId = format!("w{number}-{life}").into();
-        let listing = WorkerListing {
+    pub(crate) fn add_worker(&mut self, number: u32, instance: u32) {
+        let id: WorkerId = format!("w{number}-{instance}").into();
+        let registration = WorkerRegistration {
             id: id.clone(),
-            born: Some(self.unix()),
+            instance_start: Some(self.unix()),
             address: format!("10.0.0.{}:80", number + 1).parse().unwrap(),
             service: "svc".into(),
             domain: format!("d{}", number % self.domains).into(),
@@ -266,15 +266,17 @@
             leaving: None,
         };
         let rate = self.rng.random_range(980..=1_000);
-        let before =
-            self.workers.values().filter(|worker| worker.listing.address == listing.address);
+        let before = self
+            .workers
+            .values()
+            .filter(|worker| worker.registration.address == registration.address);
         for worker in before.filter(|worker| worker.up) {
             worker.runs.keys().for_each(|task| self.checker.note_crash(worker, task));
         }
-        self.workers.retain(|_, worker| worker.listing.address != listing.address);
-        self.workers.insert(id, ModelWorker::new(listing.clone(), self.now, rate));
+        self.workers.retain(|_, worker| worker.registration.address != registration.address);
+        self.workers.insert(id, ModelWorker::new(registration.clone(), self.now, rate));
         for (epoch, leader) in &mut self.leaders {
-            register(&self.plan, &self.led[epoch], leader, self.now, listing.clone());
+            register(&self.plan, &self.led[epoch], leader, self.now, registration.clone());
         }
     }
 
@@ -312,7 +314,7 @@
         leader.set_entries((0..5).map(|entry| EntryId::from(format!("e{entry}"))).collect());
         leader.note_authority(self.now);
         for worker in self.workers.values().filter(|worker| worker.up) {
-            register(&self.plan, shard, &mut leader, self.now, worker.listing.clone());
+            register(&self.plan, shard, &mut leader, self.now, worker.registration.clone());
         }
         self.led.insert(epoch, shard.clone());
         self.leaders.insert(epoch, leader);
@@ -348,9 +350,9 @@
     ) -> CallId {
         let record = self.record(queue, id, steps, None);
         self.last_call += 1;
-        let (now, call, patience) = (self.now, self.last_call, self.patience);
+        let (now, call, caller_timeout) = (self.now, self.last_call, self.caller_timeout);
         if let Some(leader) = self.leader_in(shard) {
-            leader.submit(now, call, call, patience, record);
+            leader.submit(now, call, call, caller_timeout, record);
         }
         call
     }
@@ -395,9 +397,9 @@
         let record = self.record(queue, id, steps, repeat);
         self.last_call += 1;
         let (now, call) = (self.now, self.last_call);
-        let patience = self.patience;
+        let caller_timeout = self.caller_timeout;
         if let Some(leader) = self.leader() {
-            leader.submit(now, call, call, patience, record);
+            leader.submit(now, call, call, caller_timeout, record);
         }
         call
     }
@@ -481,7 +483,7 @@
         }
         self.leaders.retain(|_, leader| !leader.deposed());
         for (epoch, action) in actions {
-            self.carry(epoch, action);
+            self.execute(epoch, action);
         }
     }
 
@@ -498,7 +500,7 @@
         self.rng.random_range(0..1_000) < permille
     }
 
-    fn carry(&mut self, epoch: LeaderEpoch, action: GraphAction) {
+    fn execute(&mut self, epoch: LeaderEpoch, action: GraphAction) {
         let way = self.way();
         match action {
             GraphAction::Poll { worker, until, acked, wait, .. } => {
@@ -512,7 +514,7 @@
                 self.post(way, Message::Poll { epoch, worker, until, acked, wait });
             }
             GraphAction::Start(order) => {
-                let life = LifeId::new(order.worker.clone(), order.born);
+                let instance = InstanceId::new(order.worker.clone(), order.instance_start);
                 let (task, run) = (order.task.clone(), order.run);
                 let sent = self.now;
                 let message = |answered| Message::Start { epoch, order, sent, answered };
@@ -522,15 +524,15 @@
                 };
                 if !answered {
                     let result = Err(CallFailure::NoAnswer);
-                    let lost = Message::Started { leader: epoch, life, task, run, result };
+                    let lost = Message::Started { leader: epoch, instance, task, run, result };
                     self.post(Duration::from_millis(450), lost);
                 }
             }
-            GraphAction::Stop { worker, born, task, run, .. } => {
-                let life = LifeId::new(worker, born);
-                let (to, name) = (life.clone(), task.clone());
+            GraphAction::Stop { worker, instance_start, task, run, .. } => {
+                let instance = InstanceId::new(worker, instance_start);
+                let (to, name) = (instance.clone(), task.clone());
                 let message =
-                    |answered| Message::Stop { epoch, life: to, task: name, run, answered };
+                    |answered| Message::Stop { epoch, instance: to, task: name, run, answered };
                 let lost = self.fates.lost_stops > 0;
                 self.fates.lost_stops = self.fates.lost_stops.saturating_sub(1);
                 let answered = match lost {
@@ -539,7 +541,7 @@
                 };
                 if !answered {
                     let result = Err(CallFailure::NoAnswer);
-                    let lost = Message::Stopped { leader: epoch, life, task, run, result };
+                    let lost = Message::Stopped { leader: epoch, instance, task, run, result };
                     self.post(Duration::from_millis(450), lost);
                 }
             }
@@ -591,14 +593,15 @@
         if self.chance(self.faults.late) {
             let late = Duration::from_millis(self.rng.random_range(2_000..12_000));
             let order = message(false);
-            let (Message::Start { order: StartOrder { worker, .. }, .. }
-            | Message::Stop { life: LifeId { worker, .. }, .. }) = &order
+            let (Message::Start { order: StartCommand { worker, .. }, .. }
+            | Message::Stop { instance: InstanceId { worker, .. }, .. }) = &order
             else {
                 panic!("{order:?} is no order");
             };
             let worker = worker.clone();
-            let born = self.workers.get(&worker).and_then(|worker| worker.listing.born);
-            self.post(late, Message::Late { worker, born, order: Box::new(order) });
+            let instance_start =
+                self.workers.get(&worker).and_then(|worker| worker.registration.instance_start);
+            self.post(late, Message::Late { worker, instance_start, order: Box::new(order) });
             return false;
         }
         let answered = !self.chance(self.faults.unanswered);
@@ -612,14 +615,14 @@
             Message::Poll { epoch, worker, until, acked, wait } => {
                 self.polled(epoch, worker, until, acked, wait);
             }
-            Message::Look { leader, worker, born, acked, until } => {
-                self.look(leader, worker, born, acked, until)
+            Message::PollArrives { leader, worker, instance_start, acked, until } => {
+                self.look(leader, worker, instance_start, acked, until)
             }
             Message::Start { epoch, order, sent, answered } => {
                 self.start(epoch, order, sent, answered);
             }
-            Message::Stop { epoch, life, task, run, answered } => {
-                self.stop(epoch, life, task, run, answered);
+            Message::Stop { epoch, instance, task, run, answered } => {
+                self.stop(epoch, instance, task, run, answered);
             }
             Message::Commit { epoch, group } => self.commit(epoch, group),
             Message::Stored { leader, number, taken } => {
@@ -645,14 +648,14 @@
                     leader.polled(now, unix, &worker, result);
                 }
             }
-            Message::Started { leader, life, task, run, result } => {
+            Message::Started { leader, instance, task, run, result } => {
                 if let Some(leader) = self.leaders.get_mut(&leader) {
-                    leader.started(now, &life, &task, run, result);
+                    leader.started(now, &instance, &task, run, result);
                 }
             }
-            Message::Stopped { leader, life, task, run, result } => {
+            Message::Stopped { leader, instance, task, run, result } => {
                 if let Some(leader) = self.leaders.get_mut(&leader) {
-                    leader.stopped(now, &life, &task, run, result);
+                    leader.stopped(now, &instance, &task, run, result);
                 }
             }
             Message::Crash { worker, task } => {
@@ -664,15 +667,16 @@
             Message::Unlisted { worker } => {
                 if self.workers.contains_key(&worker) {
                     for leader in self.leaders.values_mut() {
-                        leader.worker_unlisted(now, &worker);
+                        leader.worker_unregistered(now, &worker);
                     }
                 }
             }
             Message::Reborn { worker } => self.reborn(&worker),
             Message::Restart { worker } => self.restart(&worker),
-            Message::Late { worker, born, order } => {
-                let life = self.workers.get(&worker).map(|worker| worker.listing.born);
-                if life.is_none_or(|life| life == born) {
+            Message::Late { worker, instance_start, order } => {
+                let instance =
+                    self.workers.get(&worker).map(|worker| worker.registration.instance_start);
+                if instance.is_none_or(|instance| instance == instance_start) {
                     self.deliver(*order);
                 }
             }
@@ -734,7 +738,7 @@
         let acknowledged: Vec<EndReport> =
             worker.ends.iter().filter(|end| end.number <= acked).cloned().collect();
         let lapses = worker.ends.iter().filter(|end| end.kind == EndKind::Lapsed);
-        let last_lapse = lapses.map(|end| end.number).max().unwrap_or(0);
+        let last_lease_expiry = lapses.map(|end| end.number).max().unwrap_or(0);
         worker.ends.retain(|end| end.number > acked);
         for end in acknowledged {
             // A lease that ends with nothing running leaves no trace: such an end stands for good.
@@ -743,7 +747,7 @@
             let step = step.map(|(record, _)| &record.spec.steps[end.task.key.step.step as usize]);
             let counts = end.kind == EndKind::Done && step.is_some_and(|step| !step.lasting);
             assert!(
-                !counts || end.number < last_lapse || !begun_again || !self.strict_notes,
+                !counts || end.number < last_lease_expiry || !begun_again || !self.strict_notes,
                 "the end of {} run {} is noted after it was begun again",
                 end.task,
                 end.run
@@ -752,22 +756,23 @@
                 self.noted.entry(end.task).or_default().push(end.kind);
             }
         }
-        let born = self.workers[&id].listing.born;
-        self.look(epoch, id, born, acked, now + wait);
+        let instance_start = self.workers[&id].registration.instance_start;
+        self.look(epoch, id, instance_start, acked, now + wait);
     }
 
     fn look(
         &mut self,
         leader: LeaderEpoch,
         id: WorkerId,
-        born: LifeStart,
+        instance_start: InstanceStart,
         acked: u64,
         until: Instant,
     ) {
         let (now, way) = (self.now, self.way());
         let lost = self.chance(self.faults.unanswered);
-        let same_life = |worker: &&mut ModelWorker| worker.listing.born == born;
-        let Some(worker) = self.reachable(&id).filter(same_life) else {
+        let same_instance =
+            |worker: &&mut ModelWorker| worker.registration.instance_start == instance_start;
+        let Some(worker) = self.reachable(&id).filter(same_instance) else {
             let (failure, after) = match self.failure_at(&id, Duration::from_millis(600)) {
                 // The call was under way when the worker went.
                 (CallFailure::NothingThere, after) => (CallFailure::NoAnswer, after),
@@ -778,7 +783,10 @@
         };
         worker.pass(now);
         if worker.ends.iter().all(|end| end.number <= acked) && now < until {
-            return self.post(STEP, Message::Look { leader, worker: id, born, acked, until });
+            return self.post(
+                STEP,
+                Message::PollArrives { leader, worker: id, instance_start, acked, until },
+            );
         }
         let result = match lost {
             true => Err(CallFailure::NoAnswer),
@@ -788,10 +796,10 @@
         self.post(way, Message::Polled { leader, worker: id, result });
     }
 
-    fn start(&mut self, epoch: LeaderEpoch, order: StartOrder, sent: Instant, answered: bool) {
+    fn start(&mut self, epoch: LeaderEpoch, order: StartCommand, sent: Instant, answered: bool) {
         let now = self.now;
         let (id, task, run) = (order.worker.clone(), order.task.clone(), order.run);
-        let life = LifeId::new(id.clone(), order.born);
+        let instance = InstanceId::new(id.clone(), order.instance_start);
         let fails = self.poison.contains(&task.job) || self.chance(self.failing);
         let step = self
             .store
@@ -846,19 +854,19 @@
         if answered {
             let failed = result == Err(CallFailure::NoAnswer);
             let after = if failed { Duration::from_millis(450) } else { self.way() };
-            self.post(after, Message::Started { leader: epoch, life, task, run, result });
+            self.post(after, Message::Started { leader: epoch, instance, task, run, result });
         }
     }
 
     fn stop(
         &mut self,
         epoch: LeaderEpoch,
-        life: LifeId,
+        instance: InstanceId,
         task: TaskName,
         run: RunNumber,
         answered: bool,
     ) {
-        let (now, id) = (self.now, life.worker.clone());
+        let (now, id) = (self.now, instance.worker.clone());
         let result = match self.reachable(&id) {
             None => Err(self.failure_at(&id, Duration::ZERO).0),
             Some(worker) => match worker.fenced(epoch) {
@@ -876,7 +884,7 @@
         if answered {
             let failed = result == Err(CallFailure::NoAnswer);
             let after = if failed { Duration::from_millis(450) } else { self.way() };
-            self.post(after, Message::Stopped { leader: epoch, life, task, run, result });
+            self.post(after, Message::Stopped { leader: epoch, instance, task, run, result });
         }
     }
 
@@ -990,7 +998,7 @@
                 };
                 let since = run.begun.max(*ended).max(worker.calm_since);
                 let goes_on = self.now.saturating_duration_since(since);
-                let id = &worker.listing.id;
+                let id = &worker.registration.id;
                 self.longest_stop = self.longest_stop.max(goes_on);
                 assert!(goes_on <= STOPPED_WITHIN, "{task} run {} goes on at {id}", run.run);
             }
@@ -1010,8 +1018,10 @@
             tasks.for_each(|task| self.waiting.note_begun(task));
             self.waiting.check_waiting(leader);
             let claimed = |worker: &&ModelWorker| {
-                let life = leader.lives().get(worker.id());
-                worker.up && worker.reached && life.is_some_and(|life| life.claimed && life.listed)
+                let instance = leader.instances().get(worker.id());
+                worker.up
+                    && worker.reached
+                    && instance.is_some_and(|instance| instance.claimed && instance.registered)
             };
             for worker in self.workers.values().filter(claimed) {
                 let clear = self.calm_since.max(worker.calm_since).max(first);
--- a/tests/graph/world/messages.rs
+++ b/tests/graph/world/messages.rs
@@ -42,23 +42,23 @@
         acked: u64,
         wait: Duration,
     },
-    Look {
+    PollArrives {
         leader: LeaderEpoch,
         worker: WorkerId,
         /// Life that took the poll.
-        born: LifeStart,
+        instance_start: InstanceStart,
         acked: u64,
         until: Instant,
     },
     Start {
         epoch: LeaderEpoch,
-        order: StartOrder,
+        order: StartCommand,
         sent: Instant,
         answered: bool,
     },
     Stop {
         epoch: LeaderEpoch,
-        life: LifeId,
+        instance: InstanceId,
         task: TaskName,
         run: RunNumber,
         answered: bool,
@@ -84,14 +84,14 @@
     },
     Started {
         leader: LeaderEpoch,
-        life: LifeId,
+        instance: InstanceId,
         task: TaskName,
         run: RunNumber,
         result: CommandResult,
     },
     Stopped {
         leader: LeaderEpoch,
-        life: LifeId,
+        instance: InstanceId,
         task: TaskName,
         run: RunNumber,
         result: CommandResult,
@@ -120,7 +120,7 @@
     /// An order that a worker has taken and carries out late: it goes with the life that took it.
     Late {
         worker: WorkerId,
-        born: LifeStart,
+        instance_start: InstanceStart,
         order: Box<Message>,
     },
     /// A worker says what it has.
--- a/tests/graph/world/trouble.rs
+++ b/tests/graph/world/trouble.rs
@@ -22,7 +22,7 @@
 impl World {
     /// Has most workers that crash come back under their ids.
     pub(crate) fn keep_ids(&mut self, seed: u64) {
-        self.lives = Some(StdRng::seed_from_u64(seed));
+        self.instances = Some(StdRng::seed_from_u64(seed));
     }
 
     /// A worker goes with all that runs there, and is back after a while.
@@ -48,7 +48,7 @@
 
     /// The life of a worker that has this number is replaced by another: at once under another id, or under its own after a
     /// while.
-    pub(crate) fn replace_worker(&mut self, number: u32, life: u32) {
+    pub(crate) fn replace_worker(&mut self, number: u32, instance: u32) {
         let prefix = format!("w{number}-");
         let id = self.workers.keys().find(|id| id.starts_with(&prefix)).cloned();
         match id.filter(|_| self.draw(KEPT_IDS)) {
@@ -56,7 +56,7 @@
                 let away = self.draw_away();
                 self.crash_and_restart(&id, away);
             }
-            None => self.add_worker(number, life),
+            None => self.add_worker(number, instance),
         }
     }
 
@@ -80,14 +80,15 @@
 
     /// A worker is back under its id: it knows nothing, and all that it counts begins anew.
     pub(super) fn restart(&mut self, id: &WorkerId) {
-        let (now, born) = (self.now, Some(self.unix()));
-        let rate = self.lives.as_mut().map_or(1_000, |rng| rng.random_range(980..=1_000));
+        let (now, instance_start) = (self.now, Some(self.unix()));
+        let rate = self.instances.as_mut().map_or(1_000, |rng| rng.random_range(980..=1_000));
         let Some(worker) = self.workers.get_mut(id).filter(|worker| !worker.up) else {
             return;
         };
-        let listing = WorkerListing { born, leaving: None, ..worker.listing.clone() };
-        *worker = worker.next_life(listing, now, rate);
-        let beat = match &mut self.lives {
+        let registration =
+            WorkerRegistration { instance_start, leaving: None, ..worker.registration.clone() };
+        *worker = worker.next_instance(registration, now, rate);
+        let beat = match &mut self.instances {
             Some(rng) => HEARTBEAT.mul_f64(rng.random()),
             None => STEP,
         };
@@ -100,11 +101,11 @@
 
     /// Draws a chance in thousandths where workers may keep their ids; without that it never comes.
     fn draw(&mut self, permille: u32) -> bool {
-        self.lives.as_mut().is_some_and(|rng| rng.random_range(0..1_000) < permille)
+        self.instances.as_mut().is_some_and(|rng| rng.random_range(0..1_000) < permille)
     }
 
     fn draw_away(&mut self) -> Duration {
-        let millis = self.lives.as_mut().map_or(0, |rng| match rng.random_range(0..4) {
+        let millis = self.instances.as_mut().map_or(0, |rng| match rng.random_range(0..4) {
             0 => rng.random_range(1_000..7_000),
             _ => rng.random_range(30..1_000),
         });
@@ -153,7 +154,7 @@
             return;
         };
         for (epoch, leader) in &mut self.leaders {
-            register(&self.plan, &self.led[epoch], leader, self.now, worker.listing.clone());
+            register(&self.plan, &self.led[epoch], leader, self.now, worker.registration.clone());
         }
     }
 
--- a/tests/platform/standin.rs
+++ b/tests/platform/standin.rs
@@ -585,9 +585,9 @@
     };
     let path = request.uri().path().to_owned();
     let life = request.headers().get("Target-Instance").and_then(|life| life.to_str().ok());
-    let other_life = life.is_some_and(|life| life != id);
+    let other_instance = life.is_some_and(|life| life != id);
     let body = body_of(request).await;
-    if other_life {
+    if other_instance {
         return answer(421, &json!({}));
     }
     let epoch = body["fencing_token"].as_u64().unwrap_or(0);
