--- a/src/callers/dispatch.rs
+++ b/src/callers/dispatch.rs
@@ -308,9 +308,7 @@
                 match self.hand_over(entry).await {
                     AttemptEnd::Answered(response) => return response,
                     AttemptEnd::NotRun(detail) => debug!("{entry} was not reached: {detail}"),
-                    AttemptEnd::Unknown(detail, _) => {
-                        return failed(&detail, RunState::Unknown);
-                    }
+                    AttemptEnd::Unknown(detail, _) => return failed(&detail, RunState::Unknown),
                 }
             }
         }
--- a/src/demo/load.rs
+++ b/src/demo/load.rs
@@ -423,7 +423,7 @@
         for name in names {
             at += 1;
             let view = look(&http, addresses[at % addresses.len()], &name).await;
-            let over = view.as_ref().is_some_and(|view| view.record.over());
+            let over = view.as_ref().is_some_and(|view| view.record.is_over());
             let well = view.is_some_and(|view| {
                 view.record.ended.values().all(|end| *end == crate::job::TaskEnd::Succeeded)
             });
--- a/src/domain/jobs.rs
+++ b/src/domain/jobs.rs
@@ -178,7 +178,7 @@
             .journal
             .records()
             .filter_map(|record| match record {
-                LedgerRecord::Job(job) if !job.cancelled && !job.over() => {
+                LedgerRecord::Job(job) if !job.cancelled && !job.is_over() => {
                     Some(job.spec.id.clone())
                 }
                 _ => None,
@@ -215,7 +215,7 @@
     ) {
         let mut spec = JobSpec::new(id.clone(), &intent.spec, intent.changed, unix);
         spec.count = count;
-        match self.job(&id).map(|known| (known.spec.count, known.over())) {
+        match self.job(&id).map(|known| (known.spec.count, known.is_over())) {
             None => self.accept(spec),
             Some((known, _)) if known == count => {}
             Some((_, true)) if spec.kind != JobKind::Service => {}
@@ -354,7 +354,7 @@
         let index = task.1;
         self.journal.change_job(&job_name(&task.0), |record| {
             record.ended.entry(index).or_insert(end);
-            if record.over() {
+            if record.is_over() {
                 record.over_at = Some(unix);
             }
         });
@@ -550,7 +550,7 @@
                 LedgerRecord::Job(job) => {
                     let since = job.over_at.unwrap_or(job.spec.accepted);
                     let old = since + KEEP_ENDED_MS < unix;
-                    job.over() && old && !wanted.contains(&job.spec.id)
+                    job.is_over() && old && !wanted.contains(&job.spec.id)
                 }
                 LedgerRecord::Key(key) => key.accepted + KEEP_KEY_MS < unix,
                 LedgerRecord::Taken { .. } | LedgerRecord::Gone(_) => false,
--- a/src/domain/moves.rs
+++ b/src/domain/moves.rs
@@ -393,7 +393,7 @@
         let jobs: Vec<JobRecord> = jobs.filter(|job| movable(job)).collect();
         let jobs: Vec<JobRecord> = jobs
             .into_iter()
-            .filter(|job| !JobRecord { moved: None, ..job.clone() }.over())
+            .filter(|job| !JobRecord { moved: None, ..job.clone() }.is_over())
             .filter(|job| self.job(&job.spec.id).is_none_or(|known| known.moving_from.is_some()))
             .collect();
         if jobs.is_empty() {
--- a/src/graph/controller.rs
+++ b/src/graph/controller.rs
@@ -143,9 +143,9 @@
         }
         let mut instances = InstanceTable::new(bounds.longest_lease);
         for used in &state.workers {
-            instances.used(now, used, unregistered(used));
+            instances.restore_used(now, used, unregistered(used));
         }
-        for job in jobs.iter().filter(|job| !job.over()) {
+        for job in jobs.iter().filter(|job| !job.is_over()) {
             for (task, trials) in &job.progress.trials {
                 for suspect_run in trials {
                     instances.inherit_suspect_run(now, job.task_name(*task), suspect_run.clone());
@@ -154,7 +154,7 @@
         }
         jobs.delay_suspected(now);
         info!(epoch, jobs = jobs.iter().count(), workers = state.workers.len(); "leadership begins");
-        for job in jobs.iter().filter(|job| !job.over() && !job.progress.is_blank()) {
+        for job in jobs.iter().filter(|job| !job.is_over() && !job.progress.is_blank()) {
             let (id, recorded) = (&*job.spec.id, job.progress.recorded());
             info!(job = id, state:? = job.state(), recorded; "job restored");
         }
@@ -236,7 +236,7 @@
     }
 
     /// This leader's lease was renewed by a call sent at `sent`.
-    pub fn note_authority(&mut self, sent: Instant) {
+    pub fn note_lease_renewal(&mut self, sent: Instant) {
         let sent = match self.suspended {
             Some((at, gap)) if sent <= at => sent.checked_sub(gap).unwrap_or(self.last_pass),
             _ => sent,
@@ -270,7 +270,7 @@
         if self.config.as_ref().is_some_and(|old| old.version >= config.version) {
             return;
         }
-        for job in self.jobs.iter_mut().filter(|job| !job.over()) {
+        for job in self.jobs.iter_mut().filter(|job| !job.is_over()) {
             if let Some(rule) = config.queues.get(&job.spec.queue) {
                 job.rule = rule.clone();
             }
@@ -287,16 +287,22 @@
     }
 
     /// Takes in the answer to a poll.
-    pub fn polled(&mut self, now: Instant, unix: UnixMillis, id: &WorkerId, result: PollResult) {
+    pub fn handle_poll_result(
+        &mut self,
+        now: Instant,
+        unix: UnixMillis,
+        id: &WorkerId,
+        result: PollResult,
+    ) {
         let found = match result {
-            Ok(reply) => self.instances.polled(now, id, reply),
+            Ok(reply) => self.instances.handle_poll_result(now, id, reply),
             Err(failure) => self.instances.poll_failed(now, id, &failure),
         };
         self.handle_worker_events_at(now, unix, found);
     }
 
     /// Takes in the answer to a call for advice.
-    pub fn advised(
+    pub fn handle_advice(
         &mut self,
         now: Instant,
         id: AdviceId,
@@ -305,7 +311,7 @@
         let count = allowed.as_ref().map(Vec::len);
         info!(call = id, allowed:? = count; "advice answered");
         if let Some((job, _)) = self.advice.answered(now, id, allowed, ADVICE_PAUSE) {
-            self.jobs.reopen(&job);
+            self.jobs.mark_schedulable(&job);
         }
         self.pass_wanted = true;
     }
@@ -317,7 +323,7 @@
             self.next_sweep = now + SWEEP_GAP;
             self.sweep(now, unix, extend);
         }
-        self.actions.extend(self.instances.polls(now, extend));
+        self.actions.extend(self.instances.due_polls(now, extend));
         self.review_crashes(now, unix);
         self.reject_waiting(now);
         self.release_overdue(now);
@@ -333,9 +339,9 @@
     /// Looks through all workers and runs for what time alone has brought about.
     fn sweep(&mut self, now: Instant, unix: UnixMillis, extend: bool) {
         self.invalidate_unseen_runs(now);
-        let mut found = self.instances.doubted(now);
-        found.extend(self.instances.lapsed(now));
-        found.extend(self.instances.vanished(now, now >= self.settled_at));
+        let mut found = self.instances.crash_suspicions(now);
+        found.extend(self.instances.expired_runs(now));
+        found.extend(self.instances.remove_vanished(now, now >= self.settled_at));
         self.handle_worker_events_at(now, unix, found);
         self.review_foreign(now);
         self.remote_workers.forget_expired(now);
@@ -431,7 +437,7 @@
         };
         let plan = PlacementPass::new(view).run();
         for id in &plan.settled {
-            self.jobs.close(id);
+            self.jobs.mark_unschedulable(id);
         }
         for start in &plan.starts {
             self.begin(now, start, None);
--- a/src/graph/controller/commands.rs
+++ b/src/graph/controller/commands.rs
@@ -48,7 +48,7 @@
             ..WorkerRun::new(run, phase, now, Some((job, step)))
         };
         let announced = self.jobs.consume_announcement(&task);
-        let entry = WorkerRun { doubted: announced, ..entry };
+        let entry = WorkerRun { suspicion_stored: announced, ..entry };
         if let Some(instance) = self.instances.get_mut(&start.worker) {
             instance.add_run(task.clone(), entry);
             if announced {
@@ -121,7 +121,7 @@
     }
 
     /// Takes in the answer to a start that was meant for a life of a worker.
-    pub fn started(
+    pub fn handle_start_result(
         &mut self,
         now: Instant,
         id: &InstanceId,
@@ -146,8 +146,9 @@
         }
         let sent = instance.runs.get(task).map(|entry| entry.since);
         let reached = sent.and_then(|sent| instance.clock_reached_by(sent));
-        let taken_later = matches!((&result, reached), (Ok(clock), Some(least)) if *clock < least);
-        if taken_later {
+        let taken_by_newer_instance =
+            matches!((&result, reached), (Ok(clock), Some(least)) if *clock < least);
+        if taken_by_newer_instance {
             instance.heard = None;
         }
         let Some(entry) = instance.runs.get_mut(task).filter(|entry| entry.run == run) else {
@@ -167,9 +168,9 @@
         let failure = match result {
             Ok(clock) => {
                 entry.phase = RunPhase::Running { confirmed: clock };
-                entry.taken_later = taken_later.then_some(now);
+                entry.taken_by_newer_instance = taken_by_newer_instance.then_some(now);
                 entry.confirm(now);
-                let until = entry.until.filter(|_| tries == 1 && !taken_later);
+                let until = entry.until.filter(|_| tries == 1 && !taken_by_newer_instance);
                 instance.grant_lease(until);
                 return;
             }
@@ -218,7 +219,7 @@
 
     /// A worker has been replaced by another life of it: all its runs are lost.
     fn replaced(&mut self, now: Instant, worker: &WorkerId) {
-        let found = self.instances.replaced(now, worker);
+        let found = self.instances.instance_replaced(now, worker);
         self.handle_worker_events(now, found);
     }
 
@@ -279,7 +280,7 @@
     }
 
     /// Takes in the answer to a stop that was meant for a life of a worker.
-    pub fn stopped(
+    pub fn handle_stop_result(
         &mut self,
         now: Instant,
         id: &InstanceId,
--- a/src/graph/controller/registrations.rs
+++ b/src/graph/controller/registrations.rs
@@ -21,7 +21,7 @@
     }
 
     /// All workers that are registered have been listed.
-    pub fn registrations_read(&mut self, now: Instant) {
+    pub fn note_registrations_read(&mut self, now: Instant) {
         self.registrations_awaited = false;
         self.take_held(now);
     }
@@ -37,22 +37,22 @@
     /// registered any more: what runs there goes on.
     pub fn worker_registered(&mut self, now: Instant, registration: WorkerRegistration) {
         if !self.names_service(&registration.service) {
-            return self.set_aside(registration);
+            return self.stop_using(registration);
         }
         self.foreign.remove(&registration.id);
-        self.instances.registered(now, registration);
+        self.instances.register(now, registration);
         self.pass_wanted = true;
     }
 
     /// A worker's registration has gone, or names no worker any more.
     pub fn worker_unregistered(&mut self, now: Instant, id: &WorkerId) {
         self.foreign.remove(id);
-        self.remote_workers.unregistered(now, id);
-        self.instances.unregistered(now, id);
+        self.remote_workers.unregister(now, id);
+        self.instances.unregister(now, id);
     }
 
-    fn set_aside(&mut self, registration: WorkerRegistration) {
-        self.instances.set_aside(&registration.id);
+    fn stop_using(&mut self, registration: WorkerRegistration) {
+        self.instances.stop_using(&registration.id);
         let (worker, service) = (registration.id.clone(), registration.service.clone());
         if self.foreign.insert(worker.clone(), registration).is_none() {
             metrics::counter!("kelplink_foreign_workers_total").increment(1);
@@ -82,6 +82,6 @@
     /// Whether the configuration in force names a service, or a job whose queue is gone still needs it.
     fn names_service(&self, service: &ServiceId) -> bool {
         self.config.as_ref().is_none_or(|config| config.names(service))
-            || self.jobs.open().any(|job| job.rule.service == *service)
+            || self.jobs.schedulable().any(|job| job.rule.service == *service)
     }
 }
--- a/src/graph/controller/shares.rs
+++ b/src/graph/controller/shares.rs
@@ -49,7 +49,7 @@
         shard: ShardId,
         registration: WorkerRegistration,
     ) {
-        self.remote_workers.registered(shard, registration);
+        self.remote_workers.register(shard, registration);
     }
 
     /// The shard that should take a job in place of this one.
@@ -159,8 +159,8 @@
     /// A share of a job that was accepted here has failed, and so has the job.
     pub fn fail_shared(&mut self, now: Instant, unix: UnixMillis, id: &GraphId) {
         match self.jobs.get(id) {
-            Some(job) if job.over() && job.stored_verdict.is_none() => {}
-            Some(job) if !job.over() => {
+            Some(job) if job.is_over() && job.stored_verdict.is_none() => {}
+            Some(job) if !job.is_over() => {
                 let effect = self.jobs.fail(id, unix);
                 info!(job = &**id, stops = effect.stops.len(); "a share of a job has failed");
                 self.advice.forget(id);
@@ -177,7 +177,7 @@
             Some(job) if job.stored_verdict.is_some() => {
                 self.commits.settle_notice(id.clone(), NoticeKind::Cancel, now);
             }
-            Some(job) if job.over() => {}
+            Some(job) if job.is_over() => {}
             Some(_) => {
                 let effect = self.jobs.cancel(id, unix);
                 info!(job = &**id, stops = effect.stops.len(); "job ended by its owner");
--- a/src/graph/controller/storing.rs
+++ b/src/graph/controller/storing.rs
@@ -35,7 +35,7 @@
         let number = group.number;
         self.commits.opened(group.clone(), effect, now);
         match empty {
-            true => self.committed(now, number),
+            true => self.handle_group_stored(now, number),
             false => self.actions.push(GraphAction::Commit(group)),
         }
     }
@@ -81,12 +81,17 @@
     }
 
     /// A group is stored.
-    pub fn committed(&mut self, now: Instant, number: GroupNumber) {
-        self.committed_without(now, number, &[]);
+    pub fn handle_group_stored(&mut self, now: Instant, number: GroupNumber) {
+        self.handle_group_partly_stored(now, number, &[]);
     }
 
     /// A group is stored but for jobs that another shard's leader has accepted before.
-    pub fn committed_without(&mut self, now: Instant, number: GroupNumber, taken: &[GraphId]) {
+    pub fn handle_group_partly_stored(
+        &mut self,
+        now: Instant,
+        number: GroupNumber,
+        taken: &[GraphId],
+    ) {
         let Some((group, effect)) = self.commits.stored(number) else {
             warn!(number; "a group was stored that is not waited for");
             return;
@@ -105,7 +110,7 @@
                 let queue = &*job.spec.queue;
                 info!(job = &**id, queue, steps = job.spec.steps.len(), group = number; "job accepted");
             }
-            if self.jobs.get(id).is_some_and(|job| !job.over()) {
+            if self.jobs.get(id).is_some_and(|job| !job.is_over()) {
                 self.answer_waiters(id, GraphAnswer::Accepted);
             }
             if record.share.is_some() {
@@ -119,7 +124,7 @@
                 job.stored_announced = progress.announced.clone();
             }
             // Tasks may have waited for that.
-            self.jobs.reopen(&id);
+            self.jobs.mark_schedulable(&id);
             let Some(verdict) = progress.verdict else {
                 continue;
             };
@@ -150,7 +155,7 @@
             self.jobs.remove(id);
         }
         for (instance, number) in effect.ends {
-            self.instances.stored(now, &instance, number);
+            self.instances.ends_stored(now, &instance, number);
         }
         for worker in effect.in_store {
             if let Some(instance) = self.instances.get_mut(&worker) {
--- a/src/graph/controller/submissions.rs
+++ b/src/graph/controller/submissions.rs
@@ -208,7 +208,7 @@
     }
 
     /// The store has surely not taken a group.
-    pub fn not_stored(&mut self, now: Instant, number: GroupNumber) {
+    pub fn handle_group_refused(&mut self, now: Instant, number: GroupNumber) {
         let Some(group) = self.commits.refused(number, now) else {
             return;
         };
--- a/src/graph/controller/worker_events.rs
+++ b/src/graph/controller/worker_events.rs
@@ -44,7 +44,7 @@
                     let heard_ms = survived.as_millis() as u64;
                     warn!(task:% = task, run, worker = &*worker, heard_ms; "run lost");
                     count_lost("lost");
-                    let mut effect = self.jobs.lost(&task, run, &saved);
+                    let mut effect = self.jobs.run_lost(&task, run, &saved);
                     effect.changed |= self.jobs.clear_suspect_run(&task, run);
                     self.apply(now, &task.job, effect);
                 }
@@ -53,7 +53,7 @@
                     let (task, run, begun) = (&lost.task, lost.run, lost.begun);
                     warn!(task:% = task, run, worker = &*worker, heard_ms, begun; "run given up with its worker's lease");
                     count_lost("given up");
-                    let effect = self.jobs.given_up(now, unix, &lost, suspect_run);
+                    let effect = self.jobs.run_given_up(now, unix, &lost, suspect_run);
                     self.apply(now, &task.job, effect);
                 }
                 WorkerEvent::Confirmed(worker, task, run) => {
@@ -82,7 +82,7 @@
                 }
                 WorkerEvent::Survived(task, run) => {
                     info!(task:% = task, run; "a worker has outlived the start of a suspected task");
-                    let effect = self.jobs.survived(&task);
+                    let effect = self.jobs.start_survived(&task);
                     self.apply(now, &task.job, effect);
                 }
                 WorkerEvent::Over(worker, end) => {
@@ -104,7 +104,7 @@
             let (worker, suspects, limit) = (&*crash.worker, crash.suspects.len(), crash.limit);
             warn!(worker, suspects, limit; "a worker has crashed");
             for suspect in &crash.suspects {
-                let effect = self.jobs.suspected(now, unix, suspect, limit);
+                let effect = self.jobs.crash_suspected(now, unix, suspect, limit);
                 self.apply(now, &suspect.task.job, effect);
             }
         }
@@ -121,7 +121,7 @@
         info!(task:% = task, run, worker = &**worker, end:? = kind, number; "run ended");
         metrics::counter!("kelplink_run_ends_total", "kind" => format!("{kind:?}")).increment(1);
         self.commits.touch(now, false);
-        let effect = self.jobs.ended(now, unix, worker, &end);
+        let effect = self.jobs.run_ended(now, unix, worker, &end);
         if effect.superseded
             && let Some(instance) = self.instances.get_mut(worker)
         {
@@ -134,7 +134,7 @@
 
     /// A run that this leader did not start: it is taken over if it is still wanted.
     pub(super) fn run_found(&mut self, now: Instant, worker: &WorkerId, report: RunReport) {
-        let RunReport { task, run, saved, percent, measurement } = report;
+        let RunReport { task, run, saved, percent, reported_load } = report;
         let wanted = self.jobs.get(&task.job).is_some_and(|job| {
             let newer = job.live.get(&task.key).is_none_or(|live| live.run < run);
             self.jobs.wants(&task) && newer
@@ -149,7 +149,7 @@
         let known = WorkerRun::new(run, phase, now, origin);
         let listed = true;
         let entry =
-            WorkerRun { percent, measurement, saved, probation, suspected, listed, ..known };
+            WorkerRun { percent, reported_load, saved, probation, suspected, listed, ..known };
         info!(task:% = task, run, worker = &**worker, wanted; "run found on a worker");
         self.note_begun(now, &task, run, BeginEvidence::Listed);
         let older = self.jobs.get(&task.job).and_then(|job| job.live.get(&task.key).cloned());
--- a/src/graph/exchange.rs
+++ b/src/graph/exchange.rs
@@ -99,7 +99,7 @@
     /// Share of its work that is done; 100 for a lasting task that is at work.
     pub percent: u32,
     /// Tail latency in milliseconds of a task that serves, processors in use of any other.
-    pub measurement: u32,
+    pub reported_load: u32,
 }
 
 /// How a run ended.
--- a/src/graph/instances.rs
+++ b/src/graph/instances.rs
@@ -103,7 +103,7 @@
     /// earlier one may be registered once more after the newer. So the others there are polled at once, and a
     /// life that is over is refused. Taking the last to register for the newer had up to 13 tasks of a day
     /// run twice, on days on which workers crash behind a cut.
-    pub(crate) fn registered(&mut self, now: Instant, registration: WorkerRegistration) {
+    pub(crate) fn register(&mut self, now: Instant, registration: WorkerRegistration) {
         let others = self.instances.values_mut().filter(|instance| {
             instance.address() == registration.address && *instance.id() != registration.id
         });
@@ -123,7 +123,7 @@
     }
 
     /// A worker that the store names, before or without its registration.
-    pub(crate) fn used(
+    pub(crate) fn restore_used(
         &mut self,
         now: Instant,
         used: &UsedWorker,
@@ -139,7 +139,7 @@
     }
 
     /// A registration has gone. The worker may still run, and register again.
-    pub(crate) fn unregistered(&mut self, now: Instant, id: &WorkerId) {
+    pub(crate) fn unregister(&mut self, now: Instant, id: &WorkerId) {
         if let Some(instance) = self.instances.get_mut(id)
             && std::mem::replace(&mut instance.registered, false)
         {
@@ -148,23 +148,23 @@
     }
 
     /// A worker is not to be used any more, though it may be registered.
-    pub(crate) fn set_aside(&mut self, id: &WorkerId) {
+    pub(crate) fn stop_using(&mut self, id: &WorkerId) {
         if let Some(instance) = self.instances.get_mut(id) {
             (instance.registered, instance.expected_until) = (false, None);
         }
     }
 
     /// Another life of a worker answers in place of this one.
-    pub(crate) fn replaced(&mut self, now: Instant, id: &WorkerId) -> Vec<WorkerEvent> {
+    pub(crate) fn instance_replaced(&mut self, now: Instant, id: &WorkerId) -> Vec<WorkerEvent> {
         let Some(instance) = self.instances.get(id) else {
             return Vec::new();
         };
         if instance.leaves.is_some() {
-            return self.over(id, InstanceEnd::Left);
+            return self.end_instance(id, InstanceEnd::Left);
         }
         let silent = self.silent_beside(id);
         let crash = self.crashes.crashed(now, instance, &silent);
-        let mut found = self.over(id, InstanceEnd::Replaced);
+        let mut found = self.end_instance(id, InstanceEnd::Replaced);
         found.push(WorkerEvent::Crashed(crash));
         found
     }
@@ -176,7 +176,7 @@
     }
 
     /// A life that has ended: all its runs are lost.
-    fn over(&mut self, id: &WorkerId, end: InstanceEnd) -> Vec<WorkerEvent> {
+    fn end_instance(&mut self, id: &WorkerId, end: InstanceEnd) -> Vec<WorkerEvent> {
         let Some(instance) = self.instances.remove(id) else {
             return Vec::new();
         };
@@ -190,7 +190,7 @@
     /// Polls that are due. Without `extend` leases are left as they are, and so are those of workers that
     /// left the last call unanswered: a poll that may still arrive counts as an extension, and a worker
     /// that is cut off for 6 s would hold its tasks for 10 s instead of 5.
-    pub(crate) fn polls(&mut self, now: Instant, extend: bool) -> Vec<GraphAction> {
+    pub(crate) fn due_polls(&mut self, now: Instant, extend: bool) -> Vec<GraphAction> {
         let due = |instance: &&mut WorkerInstance| {
             instance.polling.is_none() && instance.next_poll <= now
         };
@@ -232,7 +232,7 @@
     }
 
     /// Takes in the answer to a poll.
-    pub(crate) fn polled(
+    pub(crate) fn handle_poll_result(
         &mut self,
         now: Instant,
         id: &WorkerId,
@@ -332,7 +332,7 @@
     }
 
     /// Ends up to a number are stored: the next poll says so.
-    pub(crate) fn stored(&mut self, now: Instant, id: &InstanceId, number: u64) {
+    pub(crate) fn ends_stored(&mut self, now: Instant, id: &InstanceId, number: u64) {
         if let Some(instance) = self.instances.get_mut(&id.worker)
             && instance.instance_start == id.instance_start
             && instance.durable < number
@@ -362,11 +362,13 @@
             instance.note_refused(now);
         }
         match failure {
-            CallFailure::Refused(WorkerRefusal::OtherLife) => self.replaced(now, id),
+            CallFailure::Refused(WorkerRefusal::OtherLife) => self.instance_replaced(now, id),
             CallFailure::Refused(WorkerRefusal::Deposed) => {
                 vec![WorkerEvent::Deposed(id.clone())]
             }
-            CallFailure::NothingThere if instance.left(now) => self.over(id, InstanceEnd::Left),
+            CallFailure::NothingThere if instance.left(now) => {
+                self.end_instance(id, InstanceEnd::Left)
+            }
             _ => Vec::new(),
         }
     }
@@ -374,20 +376,20 @@
     /// Runs on probation that have begun on workers that have fallen silent. The store keeps them before it is known
     /// what became of the worker, which is back seconds after a crash: a leader that was lost meanwhile left the next
     /// to count anew.
-    pub(crate) fn doubted(&mut self, now: Instant) -> Vec<WorkerEvent> {
+    pub(crate) fn crash_suspicions(&mut self, now: Instant) -> Vec<WorkerEvent> {
         let silent = |instance: &&mut WorkerInstance| {
             let since = instance.silent_since.filter(|_| instance.misses >= DOUBTED_MISSES);
             since.is_some_and(|since| now.saturating_duration_since(since) >= DOUBTED_SILENCE)
         };
         let mut found = Vec::new();
         for instance in self.instances.values_mut().filter(silent) {
-            let new = instance.runs.iter().filter(|(_, run)| run.begun && !run.doubted);
+            let new = instance.runs.iter().filter(|(_, run)| run.begun && !run.suspicion_stored);
             let trials: Vec<(TaskName, SuspectRun)> = new
                 .filter_map(|(task, run)| Some((task.clone(), instance.suspect_run(run)?)))
                 .collect();
             for (task, suspect_run) in trials {
                 if let Some(run) = instance.runs.get_mut(&task) {
-                    (run.doubted, run.suspected) = (true, true);
+                    (run.suspicion_stored, run.suspected) = (true, true);
                 }
                 found.push(WorkerEvent::Doubted(task, suspect_run));
             }
@@ -396,7 +398,7 @@
     }
 
     /// Runs of workers whose lease is surely over.
-    pub(crate) fn lapsed(&mut self, now: Instant) -> Vec<WorkerEvent> {
+    pub(crate) fn expired_runs(&mut self, now: Instant) -> Vec<WorkerEvent> {
         let (mut found, longest) = (Vec::new(), self.longest_lease);
         for instance in self.instances.values_mut() {
             if instance.runs.is_empty() || !instance.lease_over(now) {
@@ -426,7 +428,7 @@
 
     /// Workers that are neither registered nor able to run anything any more; once everything from
     /// before this leader's time is over, also those that it has never heard.
-    pub(crate) fn vanished(&mut self, now: Instant, settled: bool) -> Vec<WorkerEvent> {
+    pub(crate) fn remove_vanished(&mut self, now: Instant, settled: bool) -> Vec<WorkerEvent> {
         let gone = |instance: &&WorkerInstance| {
             let over = if instance.claimed { instance.lease_over(now) } else { settled };
             let expected = instance.misses == 0 && instance.counts(now);
@@ -434,7 +436,7 @@
         };
         let gone: Vec<WorkerId> =
             self.instances.values().filter(gone).map(|l| l.id().clone()).collect();
-        gone.iter().flat_map(|id| self.over(id, InstanceEnd::Vanished)).collect()
+        gone.iter().flat_map(|id| self.end_instance(id, InstanceEnd::Vanished)).collect()
     }
 
     /// Workers that the store has to name.
@@ -498,15 +500,15 @@
                 }
                 if report.percent != run.percent {
                     run.percent = report.percent;
-                    run.moved = now;
+                    run.progressed_at = now;
                 }
                 if run.probation.is_some_and(|end| end <= now) {
                     run.probation = None;
-                    if run.suspected || run.doubted {
+                    if run.suspected || run.suspicion_stored {
                         found.push(WorkerEvent::Survived(report.task, report.run));
                     }
                 }
-                run.measurement = report.measurement;
+                run.reported_load = report.reported_load;
                 run.saved = report.saved;
                 let (done, took) = run.measure(now).unwrap_or_default();
                 work += done;
--- a/src/graph/instances/restart.rs
+++ b/src/graph/instances/restart.rs
@@ -58,12 +58,12 @@
             RunPhase::Running { .. } => RunPhase::Running { confirmed: reply.clock },
             RunPhase::Stopping { .. } => RunPhase::Stopping { answered: None, sent: now },
         };
-        Self { phase, until: None, taken_later: None, ..self }
+        Self { phase, until: None, taken_by_newer_instance: None, ..self }
     }
 
     /// A run that another life does not list and may still begin: only a stop that it has answered settles that.
     fn in_doubt(self, now: Instant) -> Self {
         let phase = RunPhase::Stopping { answered: None, sent: now };
-        Self { phase, until: None, probation: None, taken_later: None, ..self }
+        Self { phase, until: None, probation: None, taken_by_newer_instance: None, ..self }
     }
 }
--- a/src/graph/job.rs
+++ b/src/graph/job.rs
@@ -91,7 +91,7 @@
     /// Whether it is from before this leader's time.
     pub inherited: bool,
     /// When it was submitted.
-    pub begun: Instant,
+    pub submitted_at: Instant,
     /// Tasks that run or may run.
     pub live: BTreeMap<TaskKey, LiveRun>,
     /// Highest run of each task so far.
@@ -124,7 +124,7 @@
             durable: false,
             submit_deadline: now,
             inherited: false,
-            begun: now,
+            submitted_at: now,
             live: BTreeMap::new(),
             last_run: BTreeMap::new(),
             avoided_workers: BTreeMap::new(),
@@ -160,7 +160,7 @@
     }
 
     /// Whether it may use another failure domain as soon as the store has that.
-    pub fn widens(&self) -> bool {
+    pub fn is_widening(&self) -> bool {
         self.progress.domains.iter().any(|domain| !self.stored_domains.contains(domain))
     }
 
@@ -180,7 +180,7 @@
     }
 
     /// Whether it has ended, in the store or in memory.
-    pub fn over(&self) -> bool {
+    pub fn is_over(&self) -> bool {
         self.progress.verdict.is_some()
     }
 
--- a/src/graph/jobs.rs
+++ b/src/graph/jobs.rs
@@ -70,14 +70,14 @@
     }
 
     /// Jobs that may have a task to start.
-    pub(crate) fn open(&self) -> impl Iterator<Item = &GraphJob> {
-        self.open.iter().filter_map(|id| self.jobs.get(id)).filter(|job| !job.over())
+    pub(crate) fn schedulable(&self) -> impl Iterator<Item = &GraphJob> {
+        self.open.iter().filter_map(|id| self.jobs.get(id)).filter(|job| !job.is_over())
     }
 
     /// Adds a job.
     pub(crate) fn insert(&mut self, job: GraphJob) {
         let id = job.spec.id.clone();
-        if !job.over() {
+        if !job.is_over() {
             self.open.insert(id.clone());
         }
         self.jobs.insert(id, job);
@@ -90,13 +90,13 @@
     }
 
     /// A job has nothing to start until something happens to it.
-    pub(crate) fn close(&mut self, id: &GraphId) {
+    pub(crate) fn mark_unschedulable(&mut self, id: &GraphId) {
         self.open.remove(id);
     }
 
     /// A job may have a task to start.
-    pub(crate) fn reopen(&mut self, id: &GraphId) {
-        if self.jobs.get(id).is_some_and(|job| !job.over()) {
+    pub(crate) fn mark_schedulable(&mut self, id: &GraphId) {
+        if self.jobs.get(id).is_some_and(|job| !job.is_over()) {
             self.open.insert(id.clone());
         }
     }
@@ -118,7 +118,7 @@
     }
 
     /// A run is gone, nobody knows how, or it was never begun.
-    pub(crate) fn lost(&mut self, task: &TaskName, run: RunNumber, saved: &str) -> JobEffect {
+    pub(crate) fn run_lost(&mut self, task: &TaskName, run: RunNumber, saved: &str) -> JobEffect {
         let mut effect = JobEffect::default();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return effect;
@@ -126,7 +126,7 @@
         if job.live.get(&task.key).is_some_and(|live| live.run == run) {
             job.live.remove(&task.key);
         }
-        if !job.over() {
+        if !job.is_over() {
             effect.changed = keep_checkpoint(job, task.key, saved);
             effect.stops = rest_of_gang(job, task.key, run);
             self.open.insert(task.job.clone());
@@ -136,7 +136,7 @@
 
     /// A run is given up with its worker's lease: its end, should it be heard later, must not be acknowledged.
     /// One on probation may have crashed its worker.
-    pub(crate) fn given_up(
+    pub(crate) fn run_given_up(
         &mut self,
         now: Instant,
         unix: UnixMillis,
@@ -145,8 +145,8 @@
     ) -> JobEffect {
         let LostRun { task, run, saved, begun, .. } = lost;
         let (run, begun) = (*run, *begun);
-        let mut effect = self.lost(task, run, saved);
-        if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.over()) {
+        let mut effect = self.run_lost(task, run, saved);
+        if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.is_over()) {
             if let Some(suspect_run) = suspect_run {
                 job.progress.note_suspect_run(task.key, suspect_run);
                 if begun {
@@ -172,7 +172,8 @@
         held: impl Fn(&GraphJob) -> bool,
     ) -> Vec<GraphId> {
         let mut changed = Vec::new();
-        let open = self.jobs.values_mut().filter(|job| job.inherited && !job.over() && held(job));
+        let open =
+            self.jobs.values_mut().filter(|job| job.inherited && !job.is_over() && held(job));
         for job in open {
             let unseen: Vec<TaskKey> = job.unseen_tasks();
             let raised =
@@ -185,7 +186,7 @@
     }
 
     /// A run ended.
-    pub(crate) fn ended(
+    pub(crate) fn run_ended(
         &mut self,
         now: Instant,
         unix: UnixMillis,
@@ -210,10 +211,10 @@
         };
         let late = begun_again || !job.progress.counts(&task.key, run);
         effect.superseded = late && kind == EndKind::Done && !step.lasting;
-        if job.over() || job.progress.is_done(&task.key) {
+        if job.is_over() || job.progress.is_done(&task.key) {
             return effect;
         }
-        let doubted = job.progress.clear_suspect_run(&task.key, run);
+        let suspicion_stored = job.progress.clear_suspect_run(&task.key, run);
         self.open.insert(task.job.clone());
         match kind {
             EndKind::Done if !step.lasting => {
@@ -255,7 +256,7 @@
                 effect.stops = rest_of_gang(job, task.key, run);
             }
         }
-        effect.changed |= doubted;
+        effect.changed |= suspicion_stored;
         effect
     }
 
@@ -271,7 +272,7 @@
 
     fn end(&mut self, id: &GraphId, verdict: GraphVerdict, unix: UnixMillis) -> JobEffect {
         let mut effect = JobEffect::default();
-        if let Some(job) = self.jobs.get_mut(id).filter(|job| !job.over()) {
+        if let Some(job) = self.jobs.get_mut(id).filter(|job| !job.is_over()) {
             effect.stops = all_runs(job);
             effect.changed = true;
             effect.urgent = true;
@@ -284,7 +285,7 @@
     /// Whether a task still has to be run.
     pub fn wants(&self, task: &TaskName) -> bool {
         let job = self.jobs.get(&task.job);
-        job.is_some_and(|job| !job.over() && !job.progress.is_done(&task.key))
+        job.is_some_and(|job| !job.is_over() && !job.progress.is_done(&task.key))
     }
 
     /// Accepted jobs of a queue none of whose tasks has begun.
--- a/src/graph/jobs/crashes.rs
+++ b/src/graph/jobs/crashes.rs
@@ -17,7 +17,7 @@
 
 impl JobTable {
     /// A worker has crashed with a run of a task on probation: from `limit` such crashes on the task is given up.
-    pub(crate) fn suspected(
+    pub(crate) fn crash_suspected(
         &mut self,
         now: Instant,
         unix: UnixMillis,
@@ -26,7 +26,7 @@
     ) -> JobEffect {
         let CrashSuspect { task, run, sure, .. } = suspect;
         let mut effect = JobEffect::default();
-        let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.over()) else {
+        let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.is_over()) else {
             return effect;
         };
         if job.progress.is_done(&task.key) {
@@ -78,7 +78,7 @@
 
     /// Suspected tasks wait on under this leader: counts outlive leaders, and so do the pauses that follow from them.
     pub(crate) fn delay_suspected(&mut self, now: Instant) {
-        for job in self.jobs.values_mut().filter(|job| !job.over()) {
+        for job in self.jobs.values_mut().filter(|job| !job.is_over()) {
             let (crashes, trials) = (&job.progress.crashes, &job.progress.trials);
             let suspected: BTreeSet<TaskKey> =
                 crashes.keys().chain(trials.keys()).copied().collect();
@@ -104,26 +104,26 @@
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.withdrawn.insert(task.key, run);
         }
-        self.lost(task, run, "")
+        self.run_lost(task, run, "")
     }
 
     /// A run is gone from its worker, or from one that has been replaced: where that has crashed, the crash is noted in place
     /// of the trial.
     pub(crate) fn clear_suspect_run(&mut self, task: &TaskName, run: RunNumber) -> bool {
-        let job = self.jobs.get_mut(&task.job).filter(|job| !job.over());
+        let job = self.jobs.get_mut(&task.job).filter(|job| !job.is_over());
         job.is_some_and(|job| job.progress.clear_suspect_run(&task.key, run))
     }
 
     /// A worker has reported a run as begun. Tells whether that is new of one that a worker may crash, or has crashed, under.
     pub(crate) fn confirm_run(&mut self, task: &TaskName, run: RunNumber) -> bool {
         let job = self.jobs.get_mut(&task.job);
-        job.is_some_and(|job| !job.over() && job.progress.confirm_run(task.key, run))
+        job.is_some_and(|job| !job.is_over() && job.progress.confirm_run(task.key, run))
     }
 
     /// A worker has outlived the start of a task: earlier crashes were not its fault.
-    pub(crate) fn survived(&mut self, task: &TaskName) -> JobEffect {
+    pub(crate) fn start_survived(&mut self, task: &TaskName) -> JobEffect {
         let mut effect = JobEffect::default();
-        if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.over()) {
+        if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.is_over()) {
             effect.changed = job.progress.clear_crashes(&task.key);
         }
         effect
--- a/src/graph/placer.rs
+++ b/src/graph/placer.rs
@@ -157,7 +157,7 @@
     /// Decides.
     pub fn run(mut self) -> PassPlan {
         let mut steps = Vec::new();
-        for job in self.view.jobs.open().filter(|job| !self.view.unsettled.holds(job)) {
+        for job in self.view.jobs.schedulable().filter(|job| !self.view.unsettled.holds(job)) {
             let before = steps.len();
             self.open_steps(job, &mut steps);
             if steps.len() == before && job.spec.repeat.is_none() {
@@ -212,7 +212,7 @@
     ) -> ServingOrder {
         let passed = match due {
             Some(due) => Duration::from_millis(self.view.unix.saturating_sub(due)),
-            None => self.view.now.saturating_duration_since(job.begun),
+            None => self.view.now.saturating_duration_since(job.submitted_at),
         };
         let chain = job.critical_paths.get(key.step as usize).copied().unwrap_or_default();
         let objective = job.objective();
@@ -276,7 +276,7 @@
     /// use cannot hold what is missing, whatever advice says.
     fn roomier_domain(&self, step: &OpenStep<'t>, missing: usize) -> Option<DomainId> {
         let job = step.job;
-        if job.home.is_none() || job.widens() {
+        if job.home.is_none() || job.is_widening() {
             return None;
         }
         let key = (job.spec.id.clone(), step.key);
--- a/src/graph/placer/tasks.rs
+++ b/src/graph/placer/tasks.rs
@@ -28,7 +28,7 @@
     pub(super) fn serve_tasks(&mut self, step: &OpenStep<'t>, candidates: &[WorkerId]) -> usize {
         let mut counts = self.counts(step, candidates.iter());
         let mut missing = 0;
-        let mut widens = None;
+        let mut is_widening = None;
         // All tasks of a step need the same, so where one finds no worker or no victims, none after it does:
         // 80,000 tasks took 2.3 s a pass with 250 workers, 0.2 s so (debug build).
         let (mut placeable, mut preempts) = (true, true);
@@ -62,10 +62,10 @@
             }
             // Room in another failure domain costs no work.
             let all = step.waiting.len();
-            let widens = *widens.get_or_insert_with(|| {
-                step.job.widens() || self.roomier_domain(step, all).is_some()
+            let is_widening = *is_widening.get_or_insert_with(|| {
+                step.job.is_widening() || self.roomier_domain(step, all).is_some()
             });
-            if !widens {
+            if !is_widening {
                 preempts = self.preempt(step, *task, candidates, &mut counts);
             }
         }
@@ -186,9 +186,9 @@
                 false => room.free.millicores - need.millicores,
             };
             // Before distance: a job failed for good on the one bad worker of its rack, seven others empty.
-            let doubted = failed && room.health != HealthRank::Sound;
+            let suspicion_stored = failed && room.health != HealthRank::Sound;
             // Nearness goes before what would blur the cause of a crash: on a far rack a task takes three times as long.
-            (doubted, far, room.blur(job, suspected), failed, room.health, disturbs, rest)
+            (suspicion_stored, far, room.blur(job, suspected), failed, room.health, disturbs, rest)
         };
         among.iter().filter(fits).min_by_key(cost).cloned()
     }
--- a/src/graph/placer/worker_capacity.rs
+++ b/src/graph/placer/worker_capacity.rs
@@ -40,7 +40,7 @@
         let new = || instance.runs.iter().filter(|(_, run)| run.probation.is_some());
         let suspect = new().find(|(_, run)| run.suspected).map(|(task, _)| task.job.clone());
         let best_effort = instance.runs.values().filter(|run| run.best_effort);
-        let wanted = best_effort.map(|run| run.measurement).sum();
+        let wanted = best_effort.map(|run| run.reported_load).sum();
         Self {
             instance,
             health: instance.rank(now),
--- a/src/graph/preemption.rs
+++ b/src/graph/preemption.rs
@@ -120,12 +120,12 @@
 /// A run that has not answered is not stopped for its room, nor one whose absence is limited or
 /// breaks others.
 fn may_stop(run: &WorkerRun) -> bool {
-    matches!(run.phase, RunPhase::Running { .. }) && run.movable
+    matches!(run.phase, RunPhase::Running { .. }) && run.preemptible
 }
 
 /// Core-seconds that a stop throws away.
 fn loss(run: &WorkerRun, now: Instant) -> f64 {
     let worked = now.saturating_duration_since(run.since);
-    let lost = if run.saves { worked.min(SAVED_LOSS) } else { worked };
+    let lost = if run.keeps_checkpoint { worked.min(SAVED_LOSS) } else { worked };
     f64::from(run.need.millicores) / 1_000.0 * lost.as_secs_f64()
 }
--- a/src/graph/remote_workers.rs
+++ b/src/graph/remote_workers.rs
@@ -31,13 +31,13 @@
 
 impl RemoteWorkerTable {
     /// A worker of another shard has registered or changed its registration.
-    pub(crate) fn registered(&mut self, shard: ShardId, registration: WorkerRegistration) {
+    pub(crate) fn register(&mut self, shard: ShardId, registration: WorkerRegistration) {
         self.lapsed.remove(&registration.id);
         self.workers.insert(registration.id.clone(), (shard, registration));
     }
 
     /// A registration has gone. Its worker counts on for a while, unless it leaves.
-    pub(crate) fn unregistered(&mut self, now: Instant, id: &WorkerId) {
+    pub(crate) fn unregister(&mut self, now: Instant, id: &WorkerId) {
         if let Some((shard, registration)) = self.workers.remove(id)
             && registration.leaving.is_none()
         {
--- a/src/graph/worker.rs
+++ b/src/graph/worker.rs
@@ -75,7 +75,7 @@
     /// When it was started or first seen.
     pub since: Instant,
     /// Run time that its caller declares; `None` where it ends only when it is stopped.
-    pub(crate) length: Option<Duration>,
+    pub(crate) declared_run_time: Option<Duration>,
     /// The same, where its progress tells the worker's speed.
     pub estimate: Option<Duration>,
     /// Share done in percent, and when it was measured for the worker's speed.
@@ -83,9 +83,9 @@
     /// Share done in percent, and when it last rose.
     pub percent: u32,
     /// When the share done last rose.
-    pub moved: Instant,
+    pub progressed_at: Instant,
     /// Tail latency or processors in use, as the worker last said.
-    pub measurement: u32,
+    pub reported_load: u32,
     /// Last checkpoint seen.
     pub saved: String,
     /// Priority of its queue, 0 first.
@@ -93,9 +93,9 @@
     /// Whether it uses only processors that are left over.
     pub best_effort: bool,
     /// Whether it may be stopped to make room: no member of a gang, no lasting task.
-    pub movable: bool,
+    pub preemptible: bool,
     /// Whether a stop keeps what it has done.
-    pub saves: bool,
+    pub keeps_checkpoint: bool,
     /// Bound on its tail latency, where it serves users of its own.
     pub target: Option<Duration>,
     /// What it runs.
@@ -111,7 +111,7 @@
     /// Whether a list of its worker has shown it.
     pub listed: bool,
     /// When its start was answered by a clock that shows a later life than the one that was heard last.
-    pub(crate) taken_later: Option<Instant>,
+    pub(crate) taken_by_newer_instance: Option<Instant>,
     /// Whether its worker has said that it has it.
     pub begun: bool,
     /// When its worker has outlived its start for long enough; `None` once it has.
@@ -119,7 +119,7 @@
     /// Whether a worker has crashed under an earlier run of its task, or is silent with this one.
     pub suspected: bool,
     /// Whether the store was told that it may crash its worker, before or since that fell silent.
-    pub doubted: bool,
+    pub suspicion_stored: bool,
 }
 
 /// A life of a worker.
@@ -203,19 +203,19 @@
             sized: step.is_some(),
             phase,
             since: now,
-            length: step.filter(|step| !step.lasting).map(|step| step.estimate),
+            declared_run_time: step.filter(|step| !step.lasting).map(|step| step.estimate),
             estimate: step.filter(|step| tells_speed(step)).map(|step| step.estimate),
             measured: (0, now),
             percent: 0,
-            moved: now,
-            measurement: step
+            progressed_at: now,
+            reported_load: step
                 .filter(|step| step.best_effort)
                 .map_or(0, |step| step.need.millicores),
             saved: String::new(),
             priority: origin.map_or(0, |(job, _)| job.rule.priority),
             best_effort: is(|step| step.best_effort),
-            movable: is(|step| !step.gang && !step.lasting),
-            saves: is(|step| step.checkpoints),
+            preemptible: is(|step| !step.gang && !step.lasting),
+            keeps_checkpoint: is(|step| step.checkpoints),
             target: step.and_then(|step| step.target),
             image: step.and_then(|step| step.image.clone()),
             throttle: 100,
@@ -223,11 +223,11 @@
             until: None,
             sends: 0,
             listed: false,
-            taken_later: None,
+            taken_by_newer_instance: None,
             begun: !matches!(phase, RunPhase::Sent { .. }),
             probation: None,
             suspected: false,
-            doubted: false,
+            suspicion_stored: false,
         }
     }
 }
@@ -271,7 +271,7 @@
 
     /// When it will end, from the share that is done where enough is, or else from its estimate.
     pub fn expected_end(&self, estimate: Duration) -> Instant {
-        let worked = self.moved.saturating_duration_since(self.since);
+        let worked = self.progressed_at.saturating_duration_since(self.since);
         match self.percent {
             percent if percent >= LEAST_PERCENT => self.since + worked * 100 / percent,
             _ => self.since + estimate,
@@ -435,9 +435,9 @@
     }
 
     /// End of a lease of the given length from now, on its clock, and remembers that it was sent.
-    pub fn extend_lease(&mut self, now: Instant, length: Duration) -> Option<Duration> {
+    pub fn extend_lease(&mut self, now: Instant, declared_run_time: Duration) -> Option<Duration> {
         let (clock, at) = self.clock?;
-        let end = clock + now.saturating_duration_since(at) + length;
+        let end = clock + now.saturating_duration_since(at) + declared_run_time;
         self.lease = Some(self.lease.map_or(end, |lease| lease.max(end)));
         Some(end)
     }
@@ -460,7 +460,9 @@
             (Some(end), Some((clock, at))) => clock + gone.saturating_duration_since(at) < end,
             _ => false,
         };
-        let unfinished = run.length.is_none_or(|length| gone < run.since + length);
+        let unfinished = run
+            .declared_run_time
+            .is_none_or(|declared_run_time| gone < run.since + declared_run_time);
         run.begun && leased && unfinished
     }
 
@@ -484,7 +486,8 @@
     /// start gave by the clock of the life before.
     pub(crate) fn is_surely_over(&self, run: &WorkerRun, now: Instant, longest: Duration) -> bool {
         let held = longest * 1_000 / (1_000 - SLOW_CLOCK_PERMILLE) + LAPSE_MARGIN;
-        run.taken_later.is_none_or(|answered| now.saturating_duration_since(answered) >= held)
+        run.taken_by_newer_instance
+            .is_none_or(|answered| now.saturating_duration_since(answered) >= held)
     }
 
     /// Number up to which ends may be acknowledged.
--- a/src/job.rs
+++ b/src/job.rs
@@ -133,7 +133,7 @@
     }
 
     /// Tells whether no task of it will ever run again.
-    pub fn over(&self) -> bool {
+    pub fn is_over(&self) -> bool {
         self.moved.is_some() || self.ended.len() >= self.spec.count as usize
     }
 
--- a/src/node/dependency.rs
+++ b/src/node/dependency.rs
@@ -76,10 +76,10 @@
         self.take(DependencyMonitor::look);
     }
 
-    fn note_failure(&self, duty: &str, pacer: RetryMode, failure: &dyn Display) {
+    fn note_failure(&self, duty: &str, mode: RetryMode, failure: &dyn Display) {
         metrics::counter!("kelplink_dependency_tries_failed_total", "dependency" => self.name)
             .increment(1);
-        self.take(|rule| rule.failed(duty, pacer, failure.to_string()));
+        self.take(|rule| rule.failed(duty, mode, failure.to_string()));
     }
 
     /// Puts an event through the rule, and gives what follows for log and metrics.
--- a/src/node/dependency/monitor.rs
+++ b/src/node/dependency/monitor.rs
@@ -105,7 +105,7 @@
     pub(crate) fn failed(
         &mut self,
         duty: &str,
-        pacer: RetryMode,
+        mode: RetryMode,
         failure: String,
     ) -> Option<DependencyEvent> {
         let now = Instant::now();
@@ -113,7 +113,7 @@
         loss.latest = now;
         loss.tries_failed += 1;
         let until = loss.failing.entry(duty.to_owned()).or_insert(now);
-        *until = (*until).max(now + pacer.memory());
+        *until = (*until).max(now + mode.memory());
         if self.last_line.is_some_and(|at| now.saturating_duration_since(at) < LINE_PAUSE) {
             return None;
         }
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -159,7 +159,7 @@
     async fn renew(&mut self) -> Duration {
         let sent = Instant::now();
         let result = match self.lease {
-            Some(lease) => self.shared.store.keep(lease).await,
+            Some(lease) => self.shared.store.renew_lease(lease).await,
             None => self.register().await,
         };
         match result {
@@ -197,7 +197,7 @@
     }
 
     async fn register(&mut self) -> Result<bool, StoreError> {
-        let lease = self.shared.store.lease(LEASE_TTL).await?;
+        let lease = self.shared.store.create_lease(LEASE_TTL).await?;
         let settings = &self.shared.settings;
         let record = EntryRecord {
             address: settings.peers,
--- a/src/node/leader.rs
+++ b/src/node/leader.rs
@@ -220,24 +220,26 @@
             LeaderInput::ShareEnded(job) => controller.cancel_share(now, unix, &job),
             LeaderInput::ShareFailed(job) => controller.fail_shared(now, unix, &job),
             LeaderInput::Unregistered(worker) => controller.worker_unregistered(now, &worker),
-            LeaderInput::RegistrationsRead => controller.registrations_read(now),
-            LeaderInput::Polled(worker, result) => controller.polled(now, unix, &worker, result),
+            LeaderInput::RegistrationsRead => controller.note_registrations_read(now),
+            LeaderInput::Polled(worker, result) => {
+                controller.handle_poll_result(now, unix, &worker, result)
+            }
             LeaderInput::Started(instance, task, run, result) => {
-                controller.started(now, &instance, &task, run, result);
+                controller.handle_start_result(now, &instance, &task, run, result);
             }
             LeaderInput::Stopped(instance, task, run, result) => {
-                controller.stopped(now, &instance, &task, run, result);
+                controller.handle_stop_result(now, &instance, &task, run, result);
             }
-            LeaderInput::Advised(id, allowed) => controller.advised(now, id, allowed),
+            LeaderInput::Advised(id, allowed) => controller.handle_advice(now, id, allowed),
             LeaderInput::Stored(number, GroupOutcome::Stored { taken }) => {
                 self.shared.note_store(LEDGER_DUTY);
-                controller.committed_without(now, number, &taken);
+                controller.handle_group_partly_stored(now, number, &taken);
             }
             LeaderInput::Stored(number, GroupOutcome::Refused) => {
-                controller.not_stored(now, number)
+                controller.handle_group_refused(now, number)
             }
             LeaderInput::Stored(_, GroupOutcome::Deposed) => return true,
-            LeaderInput::Renewed(sent) => controller.note_authority(sent),
+            LeaderInput::Renewed(sent) => controller.note_lease_renewal(sent),
             LeaderInput::InDoubt { expected } => {
                 self.in_doubt = true;
                 if !expected {
@@ -369,7 +371,9 @@
 /// What may be told of a job; `surely` tells whether one that this leader does not have is surely gone.
 fn state_news(controller: &GraphController, surely: bool, id: &GraphId) -> StateUpdate {
     match own_job(controller, id).filter(|job| job.durable) {
-        Some(job) if job.over() && job.stored_verdict.is_none() => StateUpdate::Ending(job.state()),
+        Some(job) if job.is_over() && job.stored_verdict.is_none() => {
+            StateUpdate::Ending(job.state())
+        }
         Some(job) => StateUpdate::Final(job.state()),
         None if surely => StateUpdate::Gone,
         None => StateUpdate::Unsure,
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -310,7 +310,7 @@
 
     /// Takes a job in. `suspect` says that its tasks may run on workers not heard from yet.
     pub fn add_job(&mut self, record: &JobRecord, suspect: bool) {
-        if self.jobs.contains_key(&record.spec.id) || record.over() {
+        if self.jobs.contains_key(&record.spec.id) || record.is_over() {
             return;
         }
         let spec = Arc::new(record.spec.clone());
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -255,8 +255,8 @@
     }
 
     /// Makes a lease.
-    pub(crate) async fn lease(&self, life: Duration) -> Result<LeaseId> {
-        let body = WireTtl { ttl_ms: u64::try_from(life.as_millis()).unwrap_or(u64::MAX) };
+    pub(crate) async fn create_lease(&self, ttl: Duration) -> Result<LeaseId> {
+        let body = WireTtl { ttl_ms: u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX) };
         let response = self.write(Method::POST, LEASE_PATH, Some(&body)).await?;
         match response.status() {
             StatusCode::OK => Ok(read::<WireLease>(&response)?.lease),
@@ -265,7 +265,7 @@
     }
 
     /// Renews a lease; tells whether it still existed.
-    pub(crate) async fn keep(&self, lease: LeaseId) -> Result<bool> {
+    pub(crate) async fn renew_lease(&self, lease: LeaseId) -> Result<bool> {
         let path = format!("{KEEP_PATH}/{lease}");
         let response = self.write::<()>(Method::POST, &path, None).await?;
         match response.status() {
--- a/src/platform/workers.rs
+++ b/src/platform/workers.rs
@@ -250,9 +250,15 @@
 }
 
 fn running(wire: WireRunning) -> Option<RunReport> {
-    let WireRunning(task, run, saved, percent, measurement) = wire;
+    let WireRunning(task, run, saved, percent, reported_load) = wire;
     let task = named(&task)?;
-    Some(RunReport { task, run, saved, percent: percent as u32, measurement: measurement as u32 })
+    Some(RunReport {
+        task,
+        run,
+        saved,
+        percent: percent as u32,
+        reported_load: reported_load as u32,
+    })
 }
 
 fn ended(wire: WireEnded) -> Option<EndReport> {
--- a/tests/decisions/random.rs
+++ b/tests/decisions/random.rs
@@ -211,7 +211,7 @@
         let call = ClientCall::Job(id.as_str().into());
         match world.ask(&entry, call, Duration::from_secs(5)) {
             Some(ClientAnswer::Job(view)) if view.record.moved.is_none() => {
-                if !view.record.over() && !quota_is_taken(world, &view) {
+                if !view.record.is_over() && !quota_is_taken(world, &view) {
                     let leaders = world.leaders();
                     let leader = leaders[&view.domain][0].clone();
                     let dump = world.ask(&leader, ClientCall::Dump, Duration::from_secs(1));
--- a/tests/graph/cancellation.rs
+++ b/tests/graph/cancellation.rs
@@ -49,7 +49,7 @@
         run,
         need: step(1, 1, 0).reservation(),
         begun: world.now,
-        length: seconds(600),
+        declared_run_time: seconds(600),
         fails: false,
         stops: None,
     };
@@ -405,7 +405,7 @@
     world.leader().unwrap().worker_unregistered(now, &id);
     only_worker(&mut world).reached = false;
     let (now, unix) = (world.now, world.unix());
-    world.leader().unwrap().polled(now, unix, &id, Err(CallFailure::NotSent));
+    world.leader().unwrap().handle_poll_result(now, unix, &id, Err(CallFailure::NotSent));
     world.run(seconds(2));
     expect_that!(runs_of(&world, "a"), eq(1));
 }
@@ -426,7 +426,7 @@
     world.leader().unwrap().worker_unregistered(now, &id);
     only_worker(&mut world).up = false;
     let (now, unix) = (world.now, world.unix());
-    world.leader().unwrap().polled(now, unix, &id, Err(CallFailure::NothingThere));
+    world.leader().unwrap().handle_poll_result(now, unix, &id, Err(CallFailure::NothingThere));
     world.run(millis(200));
     expect_that!(runs_of(&world, "a"), eq(1));
 }
--- a/tests/graph/model.rs
+++ b/tests/graph/model.rs
@@ -19,7 +19,7 @@
     pub(crate) run: RunNumber,
     pub(crate) need: ResourceVector,
     pub(crate) begun: Instant,
-    pub(crate) length: Duration,
+    pub(crate) declared_run_time: Duration,
     pub(crate) fails: bool,
     /// When a stop takes effect.
     pub(crate) stops: Option<Instant>,
@@ -125,7 +125,7 @@
         let tasks: Vec<TaskName> = self.runs.keys().cloned().collect();
         for task in tasks {
             let run = &self.runs[&task];
-            let done = now >= run.begun + run.length * self.slowness;
+            let done = now >= run.begun + run.declared_run_time * self.slowness;
             let kind = match () {
                 () if lapsed => EndKind::Lapsed,
                 () if run.stops.is_some_and(|stops| stops <= now) => EndKind::Stopped,
@@ -176,9 +176,9 @@
 
     /// Share of a run that is done, in percent.
     fn percent(&self, run: &ModelRun, now: Instant) -> u32 {
-        let length = (run.length * self.slowness).as_millis().max(1);
+        let declared_run_time = (run.declared_run_time * self.slowness).as_millis().max(1);
         let passed = now.saturating_duration_since(run.begun).as_millis();
-        u32::try_from(passed * 100 / length).unwrap_or(100).min(100)
+        u32::try_from(passed * 100 / declared_run_time).unwrap_or(100).min(100)
     }
 
     pub(crate) fn report(&mut self, now: Instant, acked: u64) -> PollReply {
@@ -188,7 +188,7 @@
             run: run.run,
             saved: String::new(),
             percent: self.percent(run, now),
-            measurement: 0,
+            reported_load: 0,
         });
         let running = running.collect();
         PollReply {
--- a/tests/graph/restarts.rs
+++ b/tests/graph/restarts.rs
@@ -156,7 +156,7 @@
     let leader = world.leader().unwrap();
     for (task, behind) in [("a.0.0.1", 0), ("a.0.0.0", 3)] {
         let answer = Ok(clock - Duration::from_millis(behind));
-        leader.started(now, &instance, &task.parse().unwrap(), 1, answer);
+        leader.handle_start_result(now, &instance, &task.parse().unwrap(), 1, answer);
     }
     world.submit("now", "b", vec![step(1, 1, 5_000)]);
     world.run(Duration::from_millis(100));
--- a/tests/graph/takeover.rs
+++ b/tests/graph/takeover.rs
@@ -330,7 +330,7 @@
     let (run, clock) = (world.workers[&worker].runs[&task].run, world.workers[&worker].clock(now));
     let instance =
         InstanceId::new(worker.clone(), world.workers[&worker].registration.instance_start);
-    world.leader().unwrap().started(now, &instance, &task, run, Ok(clock));
+    world.leader().unwrap().handle_start_result(now, &instance, &task, run, Ok(clock));
     expect_that!(told(&mut world), eq(BEGUN));
 }
 
--- a/tests/graph/unread_registrations.rs
+++ b/tests/graph/unread_registrations.rs
@@ -35,7 +35,7 @@
     let mut leader = leader.with_scope(scope).awaiting_registrations();
     leader.set_config(world.config.clone());
     leader.set_entries((0..5).map(|entry| format!("e{entry}").into()).collect());
-    leader.note_authority(world.now);
+    leader.note_lease_renewal(world.now);
     world.leaders.insert(epoch, leader);
 }
 
@@ -54,7 +54,7 @@
         }
     }
     if !own {
-        leader.registrations_read(now);
+        leader.note_registrations_read(now);
     }
 }
 
--- a/tests/graph/waiting_checker.rs
+++ b/tests/graph/waiting_checker.rs
@@ -88,5 +88,5 @@
 
 /// Whether a job was accepted here and has not ended.
 fn is_open(job: &GraphJob) -> bool {
-    job.durable && !job.is_part() && !job.over()
+    job.durable && !job.is_part() && !job.is_over()
 }
--- a/tests/graph/world.rs
+++ b/tests/graph/world.rs
@@ -312,7 +312,7 @@
             GraphController::new(self.now, self.unix(), epoch, BOUNDS, state).with_scope(scope);
         leader.set_config(self.config.clone());
         leader.set_entries((0..5).map(|entry| EntryId::from(format!("e{entry}"))).collect());
-        leader.note_authority(self.now);
+        leader.note_lease_renewal(self.now);
         for worker in self.workers.values().filter(|worker| worker.up) {
             register(&self.plan, shard, &mut leader, self.now, worker.registration.clone());
         }
@@ -474,7 +474,7 @@
         for (epoch, leader) in &mut self.leaders {
             let shard = &self.store.shards[&self.led[epoch]];
             if renewal && *epoch == shard.epoch {
-                leader.note_authority(now);
+                leader.note_lease_renewal(now);
             }
             if leader.next_due(now) <= now {
                 leader.tick(now, unix);
@@ -550,7 +550,7 @@
                 self.lost_advice -= 1;
                 let now = self.now;
                 if let Some(leader) = self.leaders.get_mut(&epoch) {
-                    leader.advised(now, call.id, None);
+                    leader.handle_advice(now, call.id, None);
                 }
             }
             GraphAction::Advise(call) => {
@@ -613,7 +613,7 @@
         let (now, unix) = (self.now, self.unix());
         match message {
             Message::Poll { epoch, worker, until, acked, wait } => {
-                self.polled(epoch, worker, until, acked, wait);
+                self.handle_poll_result(epoch, worker, until, acked, wait);
             }
             Message::PollArrives { leader, worker, instance_start, acked, until } => {
                 self.look(leader, worker, instance_start, acked, until)
@@ -627,7 +627,7 @@
             Message::Commit { epoch, group } => self.commit(epoch, group),
             Message::Stored { leader, number, taken } => {
                 if let Some(leader) = self.leaders.get_mut(&leader) {
-                    leader.committed_without(now, number, &taken);
+                    leader.handle_group_partly_stored(now, number, &taken);
                 }
             }
             Message::Notice { leader, kind, job } => {
@@ -645,17 +645,17 @@
             }
             Message::Polled { leader, worker, result } => {
                 if let Some(leader) = self.leaders.get_mut(&leader) {
-                    leader.polled(now, unix, &worker, result);
+                    leader.handle_poll_result(now, unix, &worker, result);
                 }
             }
             Message::Started { leader, instance, task, run, result } => {
                 if let Some(leader) = self.leaders.get_mut(&leader) {
-                    leader.started(now, &instance, &task, run, result);
+                    leader.handle_start_result(now, &instance, &task, run, result);
                 }
             }
             Message::Stopped { leader, instance, task, run, result } => {
                 if let Some(leader) = self.leaders.get_mut(&leader) {
-                    leader.stopped(now, &instance, &task, run, result);
+                    leader.handle_stop_result(now, &instance, &task, run, result);
                 }
             }
             Message::Crash { worker, task } => {
@@ -698,7 +698,7 @@
                 let allowed = call.workers.iter().filter(|worker| !denied(worker));
                 let allowed = allowed.map(|worker| (worker.clone(), "t".into())).collect();
                 if let Some(leader) = self.leaders.get_mut(&leader) {
-                    leader.advised(now, call.id, Some(allowed));
+                    leader.handle_advice(now, call.id, Some(allowed));
                 }
             }
         }
@@ -708,7 +708,7 @@
         self.workers.get_mut(worker).filter(|worker| worker.up && worker.reached)
     }
 
-    fn polled(
+    fn handle_poll_result(
         &mut self,
         epoch: LeaderEpoch,
         id: WorkerId,
@@ -830,7 +830,7 @@
                                 run,
                                 need: step.reservation(),
                                 begun: now,
-                                length: step.estimate,
+                                declared_run_time: step.estimate,
                                 fails: fails || worker.spoils,
                                 stops: None,
                             };
@@ -892,7 +892,7 @@
         if !self.store.up && self.store.refuses {
             let now = self.now;
             if let Some(leader) = self.leaders.get_mut(&epoch) {
-                leader.not_stored(now, group.number);
+                leader.handle_group_refused(now, group.number);
             }
             return;
         }
