--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -9,8 +9,8 @@
 use hdrhistogram::Histogram;
 use kelplink::{
     ConfigRevision, CutOffRule, DemandReport, EntryId, FencingToken, IntentSpec, JobId, JobKind,
-    JobRecord, JobSpec, PlacementAction, RequestRouter, RequestTicket, ResourceVector, RouteAction,
-    RouteOutcome, ShareTable, SpreadRule, TaskEnd, TaskId, TaskOutcome, TaskScheduler, TaskUsage,
+    JobRecord, JobSpec, PlacementAction, RequestRouter, ResourceVector, RouteAction, RouteOutcome,
+    ShareTable, SlotRequest, SpreadRule, TaskEnd, TaskId, TaskOutcome, TaskScheduler, TaskUsage,
     TimingSettings, UpstreamSpec, Urgency, WorkerId, WorkerSpec,
 };
 use rand::rngs::StdRng;
@@ -185,7 +185,7 @@
     for id in 0..200_000 {
         let ticket = ticket(id, now + Duration::from_secs(1));
         let started = std::time::Instant::now();
-        let actions = router.arrive(now, ticket);
+        let actions = router.route_request(now, ticket);
         let _ = times.record(u64::try_from(started.elapsed().as_nanos()).unwrap_or(u64::MAX));
         for action in actions {
             if let RouteAction::Send(_, spec) = action {
@@ -210,9 +210,9 @@
     }
 }
 
-fn ticket(id: u64, deadline: Instant) -> RequestTicket {
+fn ticket(id: u64, deadline: Instant) -> SlotRequest {
     let (service, workspace) = ("ws/svc".into(), "ws".into());
-    RequestTicket { id, service, workspace, rank: u8::from(id.is_multiple_of(2)), deadline }
+    SlotRequest { id, service, workspace, rank: u8::from(id.is_multiple_of(2)), deadline }
 }
 
 fn supply(router: &mut RequestRouter, shares: &mut ShareTable, now: Instant) -> Vec<RouteAction> {
@@ -564,7 +564,7 @@
                 arrived.push(at);
                 arrival +=
                     Duration::from_secs_f64(-rng.random_range(f64::EPSILON..1.0_f64).ln() / rate);
-                router.arrive(now, ticket(id, now + wait))
+                router.route_request(now, ticket(id, now + wait))
             }
             false => {
                 let Some(Reverse((_, id, upstream))) = ends.pop() else { break };
@@ -606,7 +606,7 @@
         routers.iter_mut().for_each(|router| drop(supply(router, &mut shares, now)));
     }
     for id in 0..600 {
-        routers[0].arrive(now, ticket(id, now + Duration::from_secs(60)));
+        routers[0].route_request(now, ticket(id, now + Duration::from_secs(60)));
     }
     let before = routers[0].in_use();
     let mut rounds = 0;
--- a/src/callers/dispatch.rs
+++ b/src/callers/dispatch.rs
@@ -28,7 +28,7 @@
 use crate::id::EntryId;
 use crate::ledger::{KeyState, StoredAnswer};
 use crate::problem::{ProblemDetails, RAN_HEADER, RunState, full};
-use crate::routing::{RejectReason, RequestTicket, RouteAction, RouteOutcome, UpstreamSpec};
+use crate::routing::{RejectReason, RouteAction, RouteOutcome, SlotRequest, UpstreamSpec};
 
 /// Attempts at one request.
 const MAX_ATTEMPTS: u32 = 3;
@@ -172,7 +172,7 @@
 
     /// Asks the router for a slot and waits for its word.
     async fn slot(&self) -> Result<UpstreamSpec, (RejectReason, Duration)> {
-        let ticket = RequestTicket {
+        let ticket = SlotRequest {
             id: self.id,
             service: self.identity.service.clone(),
             workspace: self.identity.workspace.clone(),
@@ -184,7 +184,7 @@
             let mut router_state = self.context.router_state();
             router_state.waiting.insert(self.id, sender);
             let started = std::time::Instant::now();
-            let actions = router_state.router.arrive(Instant::now(), ticket.clone());
+            let actions = router_state.router.route_request(Instant::now(), ticket.clone());
             let seconds = started.elapsed().as_secs_f64();
             metrics::histogram!("kelplink_route_seconds").record(seconds);
             router_state.notify_waiters(actions);
--- a/src/graph.rs
+++ b/src/graph.rs
@@ -34,7 +34,7 @@
 pub use advice::{AdviceCall, AdviceId, AdviceKey, AdviceRequest, AdviceTable, StepAdvice};
 pub use answer_time::AnswerTime;
 pub use commit::{CommitGroup, CommitQueue, GroupEffect, GroupNumber};
-pub use controller::{GraphBounds, GraphController, LeaderState};
+pub use controller::{GraphBounds, GraphController, RestoredState};
 pub use crash::SuspectRun;
 pub use event::{CommandResult, GraphAction, GraphAnswer, PollResult, StartCommand};
 pub use exchange::*;
--- a/src/graph/commit.rs
+++ b/src/graph/commit.rs
@@ -61,7 +61,7 @@
     /// Ends that may be acknowledged, by the life that lists them.
     pub ends: BTreeMap<InstanceId, u64>,
     /// Workers that the store now names.
-    pub in_store: BTreeSet<WorkerId>,
+    pub stored_workers: BTreeSet<WorkerId>,
 }
 
 /// Gathers changes.
--- a/src/graph/controller.rs
+++ b/src/graph/controller.rs
@@ -69,7 +69,7 @@
 
 /// What a new leader starts from.
 #[derive(Debug, Default)]
-pub struct LeaderState {
+pub struct RestoredState {
     /// All jobs that the store has.
     pub jobs: Vec<(GraphRecord, GraphProgress)>,
     /// Workers that may run something.
@@ -134,7 +134,7 @@
         unix: UnixMillis,
         epoch: LeaderEpoch,
         bounds: GraphBounds,
-        state: LeaderState,
+        state: RestoredState,
     ) -> Self {
         let mut jobs = JobTable::default();
         for (record, progress) in state.jobs {
--- a/src/graph/controller/commands.rs
+++ b/src/graph/controller/commands.rs
@@ -82,7 +82,7 @@
         let gang = job.step(task.key.step).is_some_and(|step| step.gang);
         // In a gang one member's checkpoint holds for all.
         let keeper = if gang { TaskKey { index: 0, ..task.key } } else { task.key };
-        let saved = job.progress.saved.get(&keeper).cloned().unwrap_or_default();
+        let checkpoint = job.progress.saved.get(&keeper).cloned().unwrap_or_default();
         let payload = job.spec.payload.clone();
         let Some(instance) = self.instances.get_mut(worker) else {
             return;
@@ -106,7 +106,7 @@
         entry.phase = RunPhase::Sent { tries };
         entry.until = entry.until.max(Some(until));
         entry.sends += 1;
-        info!(task:% = task, run, worker = &**worker, tries, resumes = !saved.is_empty(); "start sent");
+        info!(task:% = task, run, worker = &**worker, tries, resumes = !checkpoint.is_empty(); "start sent");
         self.actions.push(GraphAction::Start(StartCommand {
             worker: worker.clone(),
             instance_start,
@@ -115,7 +115,7 @@
             run,
             payload,
             until,
-            saved,
+            checkpoint,
             ticket,
         }));
     }
@@ -149,7 +149,7 @@
         let taken_by_newer_instance =
             matches!((&result, reached), (Ok(clock), Some(least)) if *clock < least);
         if taken_by_newer_instance {
-            instance.heard = None;
+            instance.last_poll_answer = None;
         }
         let Some(entry) = instance.runs.get_mut(task).filter(|entry| entry.run == run) else {
             return;
--- a/src/graph/controller/storing.rs
+++ b/src/graph/controller/storing.rs
@@ -44,10 +44,10 @@
         let mut effect = GroupEffect::default();
         for instance in self.instances.iter() {
             if ids.complete {
-                effect.ends.insert(instance.instance_id(), instance.seen);
+                effect.ends.insert(instance.instance_id(), instance.last_end);
             }
             if ids.workers && instance.claimed {
-                effect.in_store.insert(instance.id().clone());
+                effect.stored_workers.insert(instance.id().clone());
             }
         }
         effect
@@ -157,7 +157,7 @@
         for (instance, number) in effect.ends {
             self.instances.ends_stored(now, &instance, number);
         }
-        for worker in effect.in_store {
+        for worker in effect.stored_workers {
             if let Some(instance) = self.instances.get_mut(&worker) {
                 instance.in_store = true;
             }
--- a/src/graph/controller/worker_events.rs
+++ b/src/graph/controller/worker_events.rs
@@ -40,11 +40,11 @@
                     self.send_stop(&worker, &task, run);
                 }
                 WorkerEvent::Lost(worker, lost) => {
-                    let LostRun { task, run, saved, survived, .. } = lost;
+                    let LostRun { task, run, checkpoint, survived, .. } = lost;
                     let heard_ms = survived.as_millis() as u64;
                     warn!(task:% = task, run, worker = &*worker, heard_ms; "run lost");
                     count_lost("lost");
-                    let mut effect = self.jobs.run_lost(&task, run, &saved);
+                    let mut effect = self.jobs.run_lost(&task, run, &checkpoint);
                     effect.changed |= self.jobs.clear_suspect_run(&task, run);
                     self.apply(now, &task.job, effect);
                 }
@@ -134,7 +134,7 @@
 
     /// A run that this leader did not start: it is taken over if it is still wanted.
     pub(super) fn run_found(&mut self, now: Instant, worker: &WorkerId, report: RunReport) {
-        let RunReport { task, run, saved, percent, reported_load } = report;
+        let RunReport { task, run, checkpoint, percent, reported_load } = report;
         let wanted = self.jobs.get(&task.job).is_some_and(|job| {
             let newer = job.live.get(&task.key).is_none_or(|live| live.run < run);
             self.jobs.wants(&task) && newer
@@ -149,7 +149,7 @@
         let known = WorkerRun::new(run, phase, now, origin);
         let listed = true;
         let entry =
-            WorkerRun { percent, reported_load, saved, probation, suspected, listed, ..known };
+            WorkerRun { percent, reported_load, checkpoint, probation, suspected, listed, ..known };
         info!(task:% = task, run, worker = &**worker, wanted; "run found on a worker");
         self.note_begun(now, &task, run, BeginEvidence::Listed);
         let older = self.jobs.get(&task.job).and_then(|job| job.live.get(&task.key).cloned());
--- a/src/graph/event.rs
+++ b/src/graph/event.rs
@@ -86,7 +86,7 @@
     /// End of the worker's lease on its clock.
     pub until: Duration,
     /// Checkpoint to go on from; empty where there is none.
-    pub saved: String,
+    pub checkpoint: String,
     /// Ticket, where the queue needs advice.
     pub ticket: Option<TicketText>,
 }
--- a/src/graph/exchange.rs
+++ b/src/graph/exchange.rs
@@ -95,7 +95,7 @@
     /// Number of the start.
     pub run: RunNumber,
     /// Last checkpoint; empty where there is none.
-    pub saved: String,
+    pub checkpoint: String,
     /// Share of its work that is done; 100 for a lasting task that is at work.
     pub percent: u32,
     /// Tail latency in milliseconds of a task that serves, processors in use of any other.
@@ -131,7 +131,7 @@
     /// How it ended.
     pub kind: EndKind,
     /// Last checkpoint; empty where there is none.
-    pub saved: String,
+    pub checkpoint: String,
 }
 
 /// A worker's answer to a poll.
--- a/src/graph/instances.rs
+++ b/src/graph/instances.rs
@@ -181,8 +181,10 @@
             return Vec::new();
         };
         let mut found = vec![WorkerEvent::Over(id.clone(), end)];
-        let lost =
-            instance.runs.into_iter().map(|(task, run)| LostRun::new(task, run, instance.answered));
+        let lost = instance
+            .runs
+            .into_iter()
+            .map(|(task, run)| LostRun::new(task, run, instance.last_answer));
         found.extend(lost.map(|lost| WorkerEvent::Lost(id.clone(), lost)));
         found
     }
@@ -201,13 +203,15 @@
             // An idle worker that is not registered is left alone once its lease is over: it was polled for good.
             let used = instance.registered || !instance.runs.is_empty();
             // Another life would forget its first ends unread by the number of this one.
-            let same_instance = instance.heard.is_some_and(|at| now - at <= SAME_INSTANCE_TIME);
+            let same_instance =
+                instance.last_poll_answer.is_some_and(|at| now - at <= SAME_INSTANCE_TIME);
             let until = match extend && used && instance.misses == 0 {
                 true => instance.extend_lease(now, WORKER_LEASE),
                 false => None,
             };
             instance.offered_lease_end = until;
-            let heard = instance.durable == instance.seen && instance.withheld_end.is_none();
+            let heard =
+                instance.last_stored_end == instance.last_end && instance.withheld_end.is_none();
             let current = instance.claimed && heard && instance.misses == 0;
             let wait = match current {
                 true if instance.runs.is_empty() => IDLE_WAIT,
@@ -243,16 +247,16 @@
             return found;
         };
         if let Some(first) = reply.ended.first().map(|end| end.number)
-            && instance.seen > 0
-            && first > instance.seen + 1
+            && instance.last_end > 0
+            && first > instance.last_end + 1
         {
-            let (after, worker) = (instance.seen, &**id);
+            let (after, worker) = (instance.last_end, &**id);
             warn!(worker, after, first; "ends of a worker are missing from its list");
             metrics::counter!("kelplink_missing_ends_total").increment(first - after - 1);
         }
         for end in reply.ended {
-            if end.number > instance.seen {
-                instance.seen = end.number;
+            if end.number > instance.last_end {
+                instance.last_end = end.number;
                 if end.kind == EndKind::Lapsed {
                     instance.last_lease_expiry = end.number;
                 }
@@ -282,7 +286,7 @@
         if instance.withheld_end.is_some_and(|number| number < instance.last_lease_expiry) {
             instance.withheld_end = None;
         }
-        instance.next_poll = match instance.durable == instance.seen {
+        instance.next_poll = match instance.last_stored_end == instance.last_end {
             _ if instance.withheld_end.is_some() => now + WITHHELD_PAUSE,
             true => now + POLL_GAP,
             false => now + STORE_PAUSE,
@@ -309,7 +313,7 @@
         instance.instance_start = reply.instance_start.or(instance.instance_start);
         let asked = instance.polling.take();
         instance.confirm_list(now, asked);
-        instance.heard = Some(now);
+        instance.last_poll_answer = Some(now);
         instance.note_answer(now, reply.clock);
         let offered_lease_end = instance.offered_lease_end.take();
         instance.grant_lease(offered_lease_end);
@@ -335,10 +339,10 @@
     pub(crate) fn ends_stored(&mut self, now: Instant, id: &InstanceId, number: u64) {
         if let Some(instance) = self.instances.get_mut(&id.worker)
             && instance.instance_start == id.instance_start
-            && instance.durable < number
+            && instance.last_stored_end < number
         {
-            instance.durable = number;
-            if instance.durable == instance.seen {
+            instance.last_stored_end = number;
+            if instance.last_stored_end == instance.last_end {
                 instance.next_poll = instance.next_poll.min(now + POLL_GAP);
             }
         }
@@ -355,7 +359,7 @@
             return Vec::new();
         };
         instance.polling = None;
-        instance.heard = None;
+        instance.last_poll_answer = None;
         instance.note_silence(now);
         instance.next_poll = now + miss_pause(instance.misses);
         if let CallFailure::NothingThere = failure {
@@ -418,7 +422,7 @@
                             instance.silent_since,
                         );
                     }
-                    let lost = LostRun::new(task, run, instance.answered);
+                    let lost = LostRun::new(task, run, instance.last_answer);
                     found.push(WorkerEvent::GivenUp(instance.id().clone(), lost, suspect_run));
                 }
             }
@@ -509,7 +513,7 @@
                     }
                 }
                 run.reported_load = report.reported_load;
-                run.saved = report.saved;
+                run.checkpoint = report.checkpoint;
                 let (done, took) = run.measure(now).unwrap_or_default();
                 work += done;
                 time += took;
--- a/src/graph/instances/restart.rs
+++ b/src/graph/instances/restart.rs
@@ -31,7 +31,7 @@
             runs.partition(|(task, run)| reply.lists(task, run.run));
         instance.runs = other;
         let crash = instance.leaves.is_none().then(|| self.crashes.crashed(now, instance, &silent));
-        let (other, answered) = (std::mem::take(&mut instance.runs), instance.answered);
+        let (other, answered) = (std::mem::take(&mut instance.runs), instance.last_answer);
         *instance = instance.next_instance(now, reply.instance_start);
         for (task, run) in listed {
             instance.add_run(task, run.carried_over(now, reply));
--- a/src/graph/jobs.rs
+++ b/src/graph/jobs.rs
@@ -118,7 +118,12 @@
     }
 
     /// A run is gone, nobody knows how, or it was never begun.
-    pub(crate) fn run_lost(&mut self, task: &TaskName, run: RunNumber, saved: &str) -> JobEffect {
+    pub(crate) fn run_lost(
+        &mut self,
+        task: &TaskName,
+        run: RunNumber,
+        checkpoint: &str,
+    ) -> JobEffect {
         let mut effect = JobEffect::default();
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return effect;
@@ -127,7 +132,7 @@
             job.live.remove(&task.key);
         }
         if !job.is_over() {
-            effect.changed = keep_checkpoint(job, task.key, saved);
+            effect.changed = keep_checkpoint(job, task.key, checkpoint);
             effect.stops = rest_of_gang(job, task.key, run);
             self.open.insert(task.job.clone());
         }
@@ -143,9 +148,9 @@
         lost: &LostRun,
         suspect_run: Option<SuspectRun>,
     ) -> JobEffect {
-        let LostRun { task, run, saved, begun, .. } = lost;
+        let LostRun { task, run, checkpoint, begun, .. } = lost;
         let (run, begun) = (*run, *begun);
-        let mut effect = self.run_lost(task, run, saved);
+        let mut effect = self.run_lost(task, run, checkpoint);
         if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.is_over()) {
             if let Some(suspect_run) = suspect_run {
                 job.progress.note_suspect_run(task.key, suspect_run);
@@ -193,7 +198,7 @@
         worker: &WorkerId,
         end: &EndReport,
     ) -> JobEffect {
-        let EndReport { task, run, kind, saved, .. } = end;
+        let EndReport { task, run, kind, checkpoint, .. } = end;
         let (run, kind) = (*run, *kind);
         let mut effect = JobEffect::default();
         let Some(job) = self.jobs.get_mut(&task.job) else {
@@ -252,7 +257,7 @@
             | EndKind::Lapsed
             | EndKind::Broken
             | EndKind::Alone => {
-                effect.changed = keep_checkpoint(job, task.key, saved);
+                effect.changed = keep_checkpoint(job, task.key, checkpoint);
                 effect.stops = rest_of_gang(job, task.key, run);
             }
         }
@@ -372,14 +377,14 @@
 }
 
 /// Keeps a checkpoint; in a gang one member's holds for all.
-fn keep_checkpoint(job: &mut GraphJob, task: TaskKey, saved: &str) -> bool {
+fn keep_checkpoint(job: &mut GraphJob, task: TaskKey, checkpoint: &str) -> bool {
     let Some(step) = job.step(task.step) else {
         return false;
     };
-    if saved.is_empty() || !step.checkpoints || job.progress.is_done(&task) {
+    if checkpoint.is_empty() || !step.checkpoints || job.progress.is_done(&task) {
         return false;
     }
     let key = if step.gang { TaskKey { index: 0, ..task } } else { task };
-    let before = job.progress.saved.insert(key, saved.to_owned());
-    before.as_deref() != Some(saved)
+    let before = job.progress.saved.insert(key, checkpoint.to_owned());
+    before.as_deref() != Some(checkpoint)
 }
--- a/src/graph/placer/gangs.rs
+++ b/src/graph/placer/gangs.rs
@@ -82,13 +82,13 @@
     ) -> Option<Vec<PlannedStart>> {
         let mut counts = self.counts(step, set.iter());
         let mut starts = Vec::new();
-        let saved: Vec<(WorkerId, WorkerCapacity<'t>)> = set
+        let checkpoint: Vec<(WorkerId, WorkerCapacity<'t>)> = set
             .iter()
             .filter_map(|id| self.rooms.get(id).map(|room| (id.clone(), room.clone())))
             .collect();
         for task in &step.waiting {
             let Some(worker) = self.choose(step, *task, set, &counts) else {
-                self.rooms.extend(saved);
+                self.rooms.extend(checkpoint);
                 return None;
             };
             *counts.entry(worker.clone()).or_default() += 1;
--- a/src/graph/worker.rs
+++ b/src/graph/worker.rs
@@ -87,7 +87,7 @@
     /// Tail latency or processors in use, as the worker last said.
     pub reported_load: u32,
     /// Last checkpoint seen.
-    pub saved: String,
+    pub checkpoint: String,
     /// Priority of its queue, 0 first.
     pub priority: u32,
     /// Whether it uses only processors that are left over.
@@ -155,9 +155,9 @@
     /// Latest end of its lease that it has answered to.
     pub(crate) granted_lease_end: Option<Duration>,
     /// Number of the last end that was taken in.
-    pub seen: u64,
+    pub last_end: u64,
     /// Number of the last end that the store has.
-    pub durable: u64,
+    pub last_stored_end: u64,
     /// Number of the last end by a lease that ran out.
     pub last_lease_expiry: u64,
     /// Number of the first end that must not be acknowledged: its task was begun again before it was heard.
@@ -167,9 +167,9 @@
     /// When the next poll is due.
     pub next_poll: Instant,
     /// When it answered last.
-    pub answered: Option<Instant>,
+    pub last_answer: Option<Instant>,
     /// When it answered the last poll, if it has: other answers do not tell which life gives them.
-    pub(crate) heard: Option<Instant>,
+    pub(crate) last_poll_answer: Option<Instant>,
     /// Calls in a row without an answer.
     pub misses: u32,
     /// When the first of them was found to have none.
@@ -211,7 +211,7 @@
             reported_load: step
                 .filter(|step| step.best_effort)
                 .map_or(0, |step| step.need.millicores),
-            saved: String::new(),
+            checkpoint: String::new(),
             priority: origin.map_or(0, |(job, _)| job.rule.priority),
             best_effort: is(|step| step.best_effort),
             preemptible: is(|step| !step.gang && !step.lasting),
@@ -297,14 +297,14 @@
             lease: None,
             offered_lease_end: None,
             granted_lease_end: None,
-            seen: 0,
-            durable: 0,
+            last_end: 0,
+            last_stored_end: 0,
             last_lease_expiry: 0,
             withheld_end: None,
             polling: None,
             next_poll: now,
-            answered: None,
-            heard: None,
+            last_answer: None,
+            last_poll_answer: None,
             misses: 0,
             silent_since: None,
             refused_since: None,
@@ -400,7 +400,7 @@
 
     /// Takes in an answer's clock.
     pub fn note_answer(&mut self, now: Instant, clock: Duration) {
-        self.answered = Some(now);
+        self.last_answer = Some(now);
         self.misses = 0;
         self.silent_since = None;
         self.refused_since = None;
@@ -492,7 +492,8 @@
 
     /// Number up to which ends may be acknowledged.
     pub fn acknowledgeable(&self) -> u64 {
-        self.withheld_end.map_or(self.durable, |first| self.durable.min(first.saturating_sub(1)))
+        self.withheld_end
+            .map_or(self.last_stored_end, |first| self.last_stored_end.min(first.saturating_sub(1)))
     }
 
     /// Never acknowledges an end whose task was begun again, unless the lease has run out since with
@@ -523,9 +524,9 @@
             && self.in_store
             && !self.obscure
             && self.misses == 0
-            && self.heard.is_some()
+            && self.last_poll_answer.is_some()
             && self.excluded_until.is_none_or(|until| until <= now)
-            && self.answered.is_some_and(|at| now.saturating_duration_since(at) < silence)
+            && self.last_answer.is_some_and(|at| now.saturating_duration_since(at) < silence)
     }
 
     /// What it is good for now. Where an end is withheld, those after it are not acknowledged either, and of a long
--- a/src/graph/worker_event.rs
+++ b/src/graph/worker_event.rs
@@ -47,7 +47,7 @@
     /// Number of the start.
     pub(crate) run: RunNumber,
     /// Last checkpoint; empty where there is none.
-    pub(crate) saved: String,
+    pub(crate) checkpoint: String,
     /// How long after the run's start its worker was last heard; zero where it was not.
     pub(crate) survived: Duration,
     /// Whether its worker had said that it has it.
@@ -58,6 +58,6 @@
     pub(crate) fn new(task: TaskName, run: WorkerRun, answered: Option<Instant>) -> Self {
         let survived =
             answered.map_or(Duration::ZERO, |at| at.saturating_duration_since(run.since));
-        Self { task, run: run.run, saved: run.saved, survived, begun: run.begun }
+        Self { task, run: run.run, checkpoint: run.checkpoint, survived, begun: run.begun }
     }
 }
--- a/src/node.rs
+++ b/src/node.rs
@@ -33,7 +33,7 @@
 mod view;
 
 pub(crate) use keys::{
-    KeyEvent, KeyItem, KeyPage, KeySet, KeyTransaction, LeaseId, StoreError, TransactionOutcome,
+    KeyEvent, KeyItem, KeyPage, KeyTransaction, KeyWrite, LeaseId, StoreError, TransactionOutcome,
     UnreadableKind, WatchOutcome, count_unreadable,
 };
 pub use process::NodeProcess;
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -17,7 +17,7 @@
 use crate::node::answer_condition::LEASE_TTL;
 use crate::node::candidacy::{Candidacy, CandidacyState};
 use crate::node::keys::{
-    ENTRY_PREFIX, KeySet, KeyTransaction, LeaseId, StoreError, TransactionOutcome, epoch_key,
+    ENTRY_PREFIX, KeyTransaction, KeyWrite, LeaseId, StoreError, TransactionOutcome, epoch_key,
     leader_key,
 };
 use crate::node::lateness::LatenessMonitor;
@@ -207,8 +207,8 @@
             revision: 0,
         };
         let key = format!("{ENTRY_PREFIX}{}", settings.name);
-        let sets = vec![KeySet { key, value: encode(&record), lease: Some(lease) }];
-        let change = KeyTransaction { sets, ..KeyTransaction::default() };
+        let writes = vec![KeyWrite { key, value: encode(&record), lease: Some(lease) }];
+        let change = KeyTransaction { writes, ..KeyTransaction::default() };
         match self.shared.store.transact(&change).await? {
             TransactionOutcome::Done(revision) => {
                 info!(lease; "registered in the store");
@@ -270,9 +270,9 @@
         let change = KeyTransaction {
             // Each leader's key is written together with the epoch, so this covers both.
             conditions: vec![(epoch_key(shard), led.epoch_revision)],
-            sets: vec![
-                KeySet { key: leader_key(shard), value: encode(&record), lease: Some(lease) },
-                KeySet { key: epoch_key(shard), value: encode(&elected), lease: None },
+            writes: vec![
+                KeyWrite { key: leader_key(shard), value: encode(&record), lease: Some(lease) },
+                KeyWrite { key: epoch_key(shard), value: encode(&elected), lease: None },
             ],
             removes: Vec::new(),
         };
@@ -310,7 +310,7 @@
         }
         let change = KeyTransaction {
             conditions: vec![(epoch_key(shard), led.epoch_revision)],
-            sets: Vec::new(),
+            writes: Vec::new(),
             removes: vec![leader_key(shard)],
         };
         let result = self.shared.store.transact(&change).await;
--- a/src/node/election/handover.rs
+++ b/src/node/election/handover.rs
@@ -8,7 +8,7 @@
 use crate::node::election::{DUTY, ElectionLoop, RETRY_PAUSE, encode};
 use crate::node::handover_inbox::SuccessorOffer;
 use crate::node::keys::{
-    KeyItem, KeySet, KeyTransaction, StoreError, TransactionOutcome, epoch_key, leader_key,
+    KeyItem, KeyTransaction, KeyWrite, StoreError, TransactionOutcome, epoch_key, leader_key,
 };
 use crate::node::records::{EpochRecord, LeaderRecord, LeaderTerm};
 use crate::node::view::{MemberView, ShardView};
@@ -229,16 +229,16 @@
     let conditions = vec![(epoch_key(shard), led.epoch_revision)];
     let Some(offer) = offer else {
         let record = EpochRecord { epoch: led.epoch, holder: going, best };
-        let sets = vec![KeySet { key: epoch_key(shard), value: encode(&record), lease: None }];
-        return Some(KeyTransaction { conditions, sets, removes: vec![leader_key(shard)] });
+        let writes = vec![KeyWrite { key: epoch_key(shard), value: encode(&record), lease: None }];
+        return Some(KeyTransaction { conditions, writes, removes: vec![leader_key(shard)] });
     };
     let epoch = epoch + 1;
     let holder = Some((offer.entry.clone(), offer.start));
     let leader = encode(&leader_record(offer, epoch));
     let record = EpochRecord { epoch, holder, best };
-    let sets = vec![
-        KeySet { key: leader_key(shard), value: leader, lease: Some(offer.lease) },
-        KeySet { key: epoch_key(shard), value: encode(&record), lease: None },
+    let writes = vec![
+        KeyWrite { key: leader_key(shard), value: leader, lease: Some(offer.lease) },
+        KeyWrite { key: epoch_key(shard), value: encode(&record), lease: None },
     ];
-    Some(KeyTransaction { conditions, sets, removes: Vec::new() })
+    Some(KeyTransaction { conditions, writes, removes: Vec::new() })
 }
--- a/src/node/keys.rs
+++ b/src/node/keys.rs
@@ -93,7 +93,7 @@
 
 /// A key to write.
 #[derive(Clone, Debug)]
-pub(crate) struct KeySet {
+pub(crate) struct KeyWrite {
     pub(crate) key: String,
     pub(crate) value: Bytes,
     /// Lease with which the key goes.
@@ -105,7 +105,7 @@
 pub(crate) struct KeyTransaction {
     /// Revision that each key must have; 0 where it must not exist.
     pub(crate) conditions: Vec<(String, u64)>,
-    pub(crate) sets: Vec<KeySet>,
+    pub(crate) writes: Vec<KeyWrite>,
     pub(crate) removes: Vec<String>,
 }
 
--- a/src/node/leader/tests.rs
+++ b/src/node/leader/tests.rs
@@ -9,7 +9,7 @@
 
 use crate::graph::{
     GraphController, GraphId, GraphProgress, GraphRecord, GraphSpec, GraphState, GraphVerdict,
-    LeaderState, QueueId, QueueRule, ShardId, StepSpec,
+    QueueId, QueueRule, RestoredState, ShardId, StepSpec,
 };
 use crate::node::action_executor::ActionExecutor;
 use crate::node::input::LeaderInput;
@@ -65,7 +65,7 @@
         let over =
             GraphProgress { verdict: Some(GraphVerdict::Completed), ..GraphProgress::default() };
         let jobs = vec![(record(WAITING), GraphProgress::default()), (record(COMPLETED), over)];
-        let state = LeaderState { jobs, ..LeaderState::default() };
+        let state = RestoredState { jobs, ..RestoredState::default() };
         let controller = GraphController::new(Instant::now(), 0, 1, settings().bounds, state);
         let mut leader = Self { duty, controller, carrier };
         leader.take(LeaderInput::Renewed(Instant::now()));
--- a/src/node/ledger.rs
+++ b/src/node/ledger.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::graph::{
-    CommitGroup, GraphId, GraphProgress, GraphRecord, LeaderEpoch, LeaderState, ShardId,
+    CommitGroup, GraphId, GraphProgress, GraphRecord, LeaderEpoch, RestoredState, ShardId,
 };
 use crate::node::dependency::DependencyLog;
 use crate::node::input::GroupOutcome;
@@ -99,7 +99,7 @@
     /// pages belong together. Both kinds of keys are read at once, since callers wait meanwhile: 740 jobs
     /// took 151 ms one after the other, 112 ms so.
     /// A page may take `time`.
-    pub(crate) async fn load(&self, time: Duration) -> Result<LeaderState> {
+    pub(crate) async fn load(&self, time: Duration) -> Result<RestoredState> {
         let begun = Instant::now();
         let (group_key, workers_key) = (self.keys.group(), self.keys.workers());
         let (records_prefix, progress_prefix) = (self.keys.record(""), self.keys.progress(""));
@@ -117,7 +117,7 @@
         let jobs = join(records, progress);
         info!(jobs = jobs.len(), took_ms = begun.elapsed().as_millis() as u64; "ledger read");
         let unknown_workers = workers.is_none();
-        Ok(LeaderState { jobs, workers: workers.unwrap_or_default(), unknown_workers })
+        Ok(RestoredState { jobs, workers: workers.unwrap_or_default(), unknown_workers })
     }
 
     /// Reads all values under a prefix; `None` stands for one that is unreadable.
@@ -149,7 +149,7 @@
         let begun = Instant::now();
         let head = self.head();
         let id = format!("{}:{}", head.epoch, group.number);
-        let (mut sets, removes) = self.keys.changes(&id, group);
+        let (mut writes, removes) = self.keys.changes(&id, group);
         let mut added = self.keys.indexed(group);
         let mut taken = Vec::new();
         let mut sure = true;
@@ -157,7 +157,7 @@
             let head = self.head();
             let conditions = self.keys.conditions(head, &added);
             let change =
-                KeyTransaction { conditions, sets: sets.clone(), removes: removes.clone() };
+                KeyTransaction { conditions, writes: writes.clone(), removes: removes.clone() };
             match self.sent(&id, &change).await {
                 Ok(TransactionOutcome::Done(revision)) => {
                     self.change(|head| head.group_revision = revision);
@@ -169,7 +169,8 @@
                         GroupConflict::Deposed => break GroupOutcome::Deposed,
                         GroupConflict::Renewed => sleep(RETRY_PAUSE).await,
                         GroupConflict::Taken(jobs) => {
-                            sets.retain(|set| !jobs.iter().any(|job| self.keys.belongs(set, job)));
+                            writes
+                                .retain(|set| !jobs.iter().any(|job| self.keys.belongs(set, job)));
                             added.retain(|job| !jobs.contains(job));
                             taken.extend(jobs);
                         }
--- a/src/node/ledger/shard_keys.rs
+++ b/src/node/ledger/shard_keys.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use crate::graph::{CommitGroup, GraphId, GraphRecord, NoticeKind, ShardId};
-use crate::node::keys::{KeySet, epoch_key, sharded};
+use crate::node::keys::{KeyWrite, epoch_key, sharded};
 use crate::node::ledger::LedgerHead;
 use crate::node::notices::notice_key;
 
@@ -77,34 +77,34 @@
     }
 
     /// Whether a key to write belongs to a job that another shard has.
-    pub(super) fn belongs(&self, set: &KeySet, job: &GraphId) -> bool {
+    pub(super) fn belongs(&self, set: &KeyWrite, job: &GraphId) -> bool {
         [self.record(job), self.progress(job), index_key(job)].contains(&set.key)
     }
 
     /// Keys that a group writes and removes.
-    pub(super) fn changes(&self, id: &str, group: &CommitGroup) -> (Vec<KeySet>, Vec<String>) {
-        let mut sets = vec![set(self.group(), Bytes::from(id.to_owned()))];
+    pub(super) fn changes(&self, id: &str, group: &CommitGroup) -> (Vec<KeyWrite>, Vec<String>) {
+        let mut writes = vec![set(self.group(), Bytes::from(id.to_owned()))];
         let mut removes = Vec::new();
         for record in &group.added {
             let job = &record.spec.id;
-            sets.push(set(self.record(job), encode(record)));
+            writes.push(set(self.record(job), encode(record)));
             match self.is_part(record) {
                 true => removes.push(notice_key(&self.shard, NoticeKind::Start, job)),
                 false if self.divided() => {
-                    sets.push(set(index_key(job), Bytes::from(self.shard.to_string())));
+                    writes.push(set(index_key(job), Bytes::from(self.shard.to_string())));
                 }
                 false => {}
             }
         }
         for (job, progress) in &group.progress {
-            sets.push(set(self.progress(job), encode(progress)));
+            writes.push(set(self.progress(job), encode(progress)));
         }
         for notice in &group.notices {
             let value = notice.record.as_ref().map(encode).unwrap_or_default();
-            sets.push(set(notice_key(&notice.shard, notice.kind, &notice.job), value));
+            writes.push(set(notice_key(&notice.shard, notice.kind, &notice.job), value));
         }
         if let Some(workers) = &group.workers {
-            sets.push(set(self.workers(), encode(workers)));
+            writes.push(set(self.workers(), encode(workers)));
         }
         for (job, kind) in &group.settled {
             removes.push(notice_key(&self.shard, *kind, job));
@@ -115,12 +115,12 @@
                 removes.push(index_key(job));
             }
         }
-        (sets, removes)
+        (writes, removes)
     }
 }
 
-fn set(key: String, value: Bytes) -> KeySet {
-    KeySet { key, value, lease: None }
+fn set(key: String, value: Bytes) -> KeyWrite {
+    KeyWrite { key, value, lease: None }
 }
 
 fn encode<T: Serialize>(value: &T) -> Bytes {
--- a/src/node/shard_plan.rs
+++ b/src/node/shard_plan.rs
@@ -10,7 +10,7 @@
 
 use crate::graph::{ShardId, ShardPlan};
 use crate::id::DomainId;
-use crate::node::keys::{KeySet, KeyTransaction, PLAN_KEY, StoreError};
+use crate::node::keys::{KeyTransaction, KeyWrite, PLAN_KEY, StoreError};
 use crate::node::shared::NodeShared;
 use crate::platform::{REGISTRATION_PREFIX, decode_registration};
 
@@ -87,7 +87,7 @@
         };
         let change = KeyTransaction {
             conditions: vec![(PLAN_KEY.to_owned(), 0)],
-            sets: vec![KeySet { key: PLAN_KEY.to_owned(), value, lease: None }],
+            writes: vec![KeyWrite { key: PLAN_KEY.to_owned(), value, lease: None }],
             removes: Vec::new(),
         };
         let shards = plan.shards().len();
--- a/src/node/tests.rs
+++ b/src/node/tests.rs
@@ -501,7 +501,7 @@
     let own = change(2).unwrap();
     expect_that!(own.conditions, eq(&vec![(epoch_key(&whole()), 40)]));
     expect_that!(
-        own.sets.iter().map(|set| set.lease).collect::<Vec<_>>(),
+        own.writes.iter().map(|set| set.lease).collect::<Vec<_>>(),
         eq(&vec![Some(3), None])
     );
     // Without a successor the choice is left to an election.
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -13,7 +13,7 @@
 
 use crate::client::{ClientError, HttpClient};
 use crate::node::{
-    KeyEvent, KeyItem, KeyPage, KeySet, KeyTransaction, LeaseId, StoreError, TransactionOutcome,
+    KeyEvent, KeyItem, KeyPage, KeyTransaction, KeyWrite, LeaseId, StoreError, TransactionOutcome,
     UnreadableKind, WatchOutcome, count_unreadable,
 };
 use crate::platform::http::{JsonCall, read_json, send_json};
@@ -118,7 +118,7 @@
 }
 
 impl<'t> WireSet<'t> {
-    fn new(set: &'t KeySet) -> Self {
+    fn new(set: &'t KeyWrite) -> Self {
         let value = STANDARD.encode(&set.value);
         Self { key: &set.key, value, lease: set.lease.unwrap_or(0) }
     }
@@ -234,7 +234,7 @@
     pub(crate) async fn transact(&self, change: &KeyTransaction) -> Result<TransactionOutcome> {
         let body = WireTransaction {
             expected_revision: change.conditions.iter().map(WireCondition::new).collect(),
-            set_keys: change.sets.iter().map(WireSet::new).collect(),
+            set_keys: change.writes.iter().map(WireSet::new).collect(),
             remove: &change.removes,
         };
         let response = self.write(Method::POST, TRANSACTION_PATH, Some(&body)).await?;
--- a/src/platform/workers.rs
+++ b/src/platform/workers.rs
@@ -128,7 +128,7 @@
             spec: &order.payload,
             until_ms: millis(order.until),
             fencing_token: terms.epoch,
-            checkpoint: &order.saved,
+            checkpoint: &order.checkpoint,
             ticket: order.ticket.as_deref(),
         };
         self.command(&order.worker, order.address, START_PATH, &body, terms.time).await
@@ -250,19 +250,19 @@
 }
 
 fn running(wire: WireRunning) -> Option<RunReport> {
-    let WireRunning(task, run, saved, percent, reported_load) = wire;
+    let WireRunning(task, run, checkpoint, percent, reported_load) = wire;
     let task = named(&task)?;
     Some(RunReport {
         task,
         run,
-        saved,
+        checkpoint,
         percent: percent as u32,
         reported_load: reported_load as u32,
     })
 }
 
 fn ended(wire: WireEnded) -> Option<EndReport> {
-    let WireEnded(number, task, run, how, saved) = wire;
+    let WireEnded(number, task, run, how, checkpoint) = wire;
     let kind = match how.as_str() {
         "done" => EndKind::Done,
         "failed" => EndKind::Failed,
@@ -275,7 +275,7 @@
             return None;
         }
     };
-    Some(EndReport { number, task: named(&task)?, run, kind, saved })
+    Some(EndReport { number, task: named(&task)?, run, kind, checkpoint })
 }
 
 fn named(text: &str) -> Option<TaskName> {
--- a/src/routing.rs
+++ b/src/routing.rs
@@ -11,7 +11,5 @@
 
 pub use budget::RetryBudget;
 pub use report::{DemandReport, ShareGrant, ShareHolding, UpstreamSpec};
-pub use router::{
-    RejectReason, RequestId, RequestRouter, RequestTicket, RouteAction, RouteOutcome,
-};
+pub use router::{RejectReason, RequestId, RequestRouter, RouteAction, RouteOutcome, SlotRequest};
 pub use shares::ShareTable;
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -40,7 +40,7 @@
 
 /// A request that wants a slot.
 #[derive(Clone, Debug)]
-pub struct RequestTicket {
+pub struct SlotRequest {
     /// Its number.
     pub id: RequestId,
     /// The service asked for.
@@ -125,7 +125,7 @@
 #[derive(Debug)]
 struct ServiceState {
     upstreams: BTreeMap<UpstreamId, UpstreamState>,
-    waiting: BTreeMap<WaitKey, RequestTicket>,
+    waiting: BTreeMap<WaitKey, SlotRequest>,
     /// Number of those that wait, by rank.
     ranks: BTreeMap<u8, usize>,
     service_time: Duration,
@@ -255,7 +255,7 @@
     }
 
     /// A request arrives. It is sent, rejected, or waits (no action).
-    pub fn arrive(&mut self, now: Instant, ticket: RequestTicket) -> Vec<RouteAction> {
+    pub fn route_request(&mut self, now: Instant, ticket: SlotRequest) -> Vec<RouteAction> {
         let Some(service) = self.services.get(&ticket.service) else {
             return vec![RouteAction::Reject(
                 ticket.id,
@@ -301,7 +301,7 @@
     fn send(
         &mut self,
         now: Instant,
-        ticket: &RequestTicket,
+        ticket: &SlotRequest,
         spec: UpstreamSpec,
     ) -> Option<RouteAction> {
         let service = self.services.get_mut(&spec.service)?;
--- a/src/routing/router/waiting.rs
+++ b/src/routing/router/waiting.rs
@@ -5,14 +5,14 @@
 impl RequestRouter {
     /// Expected wait behind the requests of the same or a more urgent rank; those of the same rank
     /// with a later deadline are counted as well, so that it errs on the long side.
-    pub(super) fn expected_wait(&self, service: &ServiceState, ticket: &RequestTicket) -> Duration {
+    pub(super) fn expected_wait(&self, service: &ServiceState, ticket: &SlotRequest) -> Duration {
         let ahead: usize = service.ranks.range(..=ticket.rank).map(|(_, count)| count).sum();
         let slots: u32 = service.upstreams.values().map(|upstream| upstream.share).sum();
         let rounds = (ahead as f64 + 1.0) / f64::from(slots.max(1));
         service.service_time.mul_f64(rounds)
     }
 
-    pub(super) fn enqueue(&mut self, ticket: RequestTicket) {
+    pub(super) fn enqueue(&mut self, ticket: SlotRequest) {
         self.waiting += 1;
         *self.waiting_by_workspace.entry(ticket.workspace.clone()).or_default() += 1;
         let key = (ticket.rank, ticket.deadline, ticket.id);
@@ -21,7 +21,7 @@
         service.waiting.insert(key, ticket);
     }
 
-    pub(super) fn dequeue(&mut self, service: &ServiceId, key: &WaitKey) -> Option<RequestTicket> {
+    pub(super) fn dequeue(&mut self, service: &ServiceId, key: &WaitKey) -> Option<SlotRequest> {
         let state = self.services.get_mut(service)?;
         let ticket = state.waiting.remove(key)?;
         if let Some(count) = state.ranks.get_mut(&ticket.rank) {
@@ -90,7 +90,7 @@
     }
 
     /// A caller left while its request waited.
-    pub fn abandon(&mut self, ticket: &RequestTicket) {
+    pub fn abandon(&mut self, ticket: &SlotRequest) {
         let key = (ticket.rank, ticket.deadline, ticket.id);
         self.dequeue(&ticket.service, &key);
     }
--- a/tests/decisions/scenarios.rs
+++ b/tests/decisions/scenarios.rs
@@ -14,7 +14,7 @@
 use kelplink::{
     CallRefusal, ClientAnswer, ClientCall, ConfirmRefusal, CutOffRule, DomainEvent, EntryId,
     IntentSpec, JobId, JobKind, JobRequest, JobView, KeyAnswer, KeyState, PlanDocument,
-    PlanRequest, RequestTicket, ResourceVector, RouteOutcome, SpreadRule, StoreFault, StoredAnswer,
+    PlanRequest, ResourceVector, RouteOutcome, SlotRequest, SpreadRule, StoreFault, StoredAnswer,
     Urgency,
 };
 
@@ -332,14 +332,14 @@
         let entry = world.entries.get_mut(&at).ok_or("no such entry")?;
         let (mut sent, mut rejected) = (0, 0);
         for id in first..first + count {
-            let ticket = RequestTicket {
+            let ticket = SlotRequest {
                 id,
                 service: "ws/svc".into(),
                 workspace: "ws".into(),
                 rank: 0,
                 deadline: now + deadline,
             };
-            for action in entry.router.arrive(now, ticket) {
+            for action in entry.router.route_request(now, ticket) {
                 match action {
                     kelplink::RouteAction::Send(..) => sent += 1,
                     kelplink::RouteAction::Reject(..) => rejected += 1,
--- a/tests/graph/model.rs
+++ b/tests/graph/model.rs
@@ -147,7 +147,7 @@
             task: task.clone(),
             run,
             kind,
-            saved: String::new(),
+            checkpoint: String::new(),
         });
     }
 
@@ -186,7 +186,7 @@
         let running = self.runs.iter().map(|(task, run)| RunReport {
             task: task.clone(),
             run: run.run,
-            saved: String::new(),
+            checkpoint: String::new(),
             percent: self.percent(run, now),
             reported_load: 0,
         });
--- a/tests/graph/takeover.rs
+++ b/tests/graph/takeover.rs
@@ -227,10 +227,10 @@
         progress.failures.entry(TASK).or_default().insert(1);
     });
     expect_that!(failed, eq(BEGUN));
-    let saved = told_of(86, |progress| {
+    let checkpoint = told_of(86, |progress| {
         progress.saved.insert(TASK, "half".to_owned());
     });
-    expect_that!(saved, eq(BEGUN));
+    expect_that!(checkpoint, eq(BEGUN));
 }
 
 #[gtest]
--- a/tests/graph/unread_registrations.rs
+++ b/tests/graph/unread_registrations.rs
@@ -5,7 +5,7 @@
 
 use googletest::prelude::*;
 use kelplink::{
-    CallId, GraphAction, GraphAnswer, GraphBounds, GraphController, LeaderState, ShardId,
+    CallId, GraphAction, GraphAnswer, GraphBounds, GraphController, RestoredState, ShardId,
     ShardScope, StepSpec, WorkerId,
 };
 
@@ -30,7 +30,7 @@
 fn take_over(world: &mut World, shard: &ShardId) {
     let epoch = world.elect_in(shard);
     let scope = ShardScope::new(world.plan.clone(), shard.clone());
-    let (state, bounds) = (LeaderState::default(), bounds());
+    let (state, bounds) = (RestoredState::default(), bounds());
     let leader = GraphController::new(world.now, world.unix(), epoch, bounds, state);
     let mut leader = leader.with_scope(scope).awaiting_registrations();
     leader.set_config(world.config.clone());
--- a/tests/graph/world.rs
+++ b/tests/graph/world.rs
@@ -302,7 +302,7 @@
         });
         let parts = stored.parts.values();
         let notices: Vec<(NoticeKind, GraphId)> = stored.notices.keys().cloned().collect();
-        let state = LeaderState {
+        let state = RestoredState {
             jobs: own.chain(parts).cloned().collect(),
             workers,
             unknown_workers: self.store.spoilt,
