--- a/src/graph/controller/submissions.rs
+++ b/src/graph/controller/submissions.rs
@@ -69,7 +69,7 @@
 
     /// Takes a job in; the answer comes when it is stored. `attempt` tells the caller's requests
     /// apart: one that was rejected stays so, should it arrive again.
-    /// The caller waits for `patience`.
+    /// The caller waits for `caller_timeout`.
     pub fn submit_here(
         &mut self,
         now: Instant,
--- a/src/graph/job.rs
+++ b/src/graph/job.rs
@@ -265,7 +265,7 @@
     }
 
     /// Whether the store has to have the next start of a task before it goes out: it may crash its worker, or an earlier one
-    /// may have. `lost_unheard` tells whether workers from before this leader's time were lost before they were heard.
+    /// may have. `lost_before_contact` tells whether workers from before this leader's time were lost before they were heard.
     pub(crate) fn needs_announcement(&self, task: TaskKey, lost_before_contact: bool) -> bool {
         let unheard = lost_before_contact && self.inherited && !self.last_run.contains_key(&task);
         let announced = self.progress.announced.contains_key(&task);
--- a/src/node/leader_client.rs
+++ b/src/node/leader_client.rs
@@ -234,7 +234,7 @@
         }
     }
 
-    /// Asks a shard's leader, whoever it is by then, until `patience` is over. All calls may be repeated; a
+    /// Asks a shard's leader, whoever it is by then, until `caller_timeout` is over. All calls may be repeated; a
     /// submission that was rejected once stays so, should an earlier try of it arrive late.
     async fn ask(
         &self,
