--- a/src/node/message.rs
+++ b/src/node/message.rs
@@ -44,6 +44,7 @@
     /// Which request of the caller this is.
     pub(crate) attempt: AttemptId,
     /// How long the caller waits.
+    #[serde(rename = "patience")]
     pub(crate) caller_timeout: Duration,
     /// Whether this leader has to take it, though another might be better.
     pub(crate) forced: bool,
