--- a/src/graph.rs
+++ b/src/graph.rs
@@ -1,4 +1,4 @@
-//! Jobs that are graphs of steps: all decisions of a leader, without input or output.
+//! Jobs that are graphs of steps: the decisions of a leader, without any I/O.
 
 mod advice;
 mod answer_time;
--- a/src/graph/advice.rs
+++ b/src/graph/advice.rs
@@ -20,19 +20,19 @@
 /// A call longer than this is long: urgent queues need a tenth of it.
 const LONG_CALL: Duration = Duration::from_millis(120);
 /// Entries that long calls leave free: one answers 35 urgent calls a second.
-const FREE_FOR_SHORT: usize = 2;
+const RESERVED_ENTRIES: usize = 2;
 /// A ticket is not used in the last part of its life: a start may wait this long on its way.
 const TICKET_MARGIN: Duration = Duration::from_millis(150);
 /// Added to the expected time of a call before it counts as lost.
 const CALL_SLACK: Duration = Duration::from_millis(900);
 /// Workers in one call.
-pub(crate) const MOST_ASKED: usize = 48;
+pub(crate) const MAX_WORKERS_PER_CALL: usize = 48;
 /// Share of workers taken to be allowed before any answer is known.
-const FIRST_SHARE: f64 = 0.5;
+const INITIAL_SHARE: f64 = 0.5;
 /// Weight of a new answer in the learned share.
 const SHARE_WEIGHT: f64 = 0.1;
 /// Smallest share that is reckoned with, so that no call asks for hundreds.
-const LEAST_SHARE: f64 = 0.15;
+const MIN_SHARE: f64 = 0.15;
 
 /// A step whose advice is asked for.
 pub type AdviceKey = (GraphId, StepKey);
@@ -44,8 +44,8 @@
     pub allowed: BTreeMap<WorkerId, (TicketText, Instant)>,
     /// Workers that are not allowed.
     pub denied: BTreeSet<WorkerId>,
-    asking: Option<AdviceId>,
-    retry: Option<Instant>,
+    open_call: Option<AdviceId>,
+    retry_at: Option<Instant>,
 }
 
 impl StepAdvice {
@@ -57,7 +57,7 @@
     }
 
     /// Whether the advisor has answered about a worker.
-    fn knows(&self, worker: &WorkerId) -> bool {
+    fn has_answer_for(&self, worker: &WorkerId) -> bool {
         self.allowed.contains_key(worker) || self.denied.contains(worker)
     }
 
@@ -111,7 +111,7 @@
     calls: BTreeMap<AdviceId, OpenCall>,
     entries: BTreeSet<EntryId>,
     shares: BTreeMap<QueueId, f64>,
-    last: AdviceId,
+    last_id: AdviceId,
 }
 
 impl AdviceTable {
@@ -127,14 +127,14 @@
 
     /// Whether a call for a step may be made now.
     pub fn may_ask(&self, key: &AdviceKey, now: Instant) -> bool {
-        self.steps
-            .get(key)
-            .is_none_or(|step| step.asking.is_none() && step.retry.is_none_or(|retry| retry <= now))
+        self.steps.get(key).is_none_or(|step| {
+            step.open_call.is_none() && step.retry_at.is_none_or(|retry_at| retry_at <= now)
+        })
     }
 
     /// Learned share of workers that a queue's steps are allowed.
     pub fn share(&self, queue: &QueueId) -> f64 {
-        self.shares.get(queue).copied().unwrap_or(FIRST_SHARE).max(LEAST_SHARE)
+        self.shares.get(queue).copied().unwrap_or(INITIAL_SHARE).max(MIN_SHARE)
     }
 
     /// Makes as many calls as there are entries without one; wishes come in order of urgency.
@@ -142,21 +142,21 @@
         let busy: BTreeSet<&EntryId> = self.calls.values().map(|open| &open.call.entry).collect();
         let idle = self.entries.iter().filter(|entry| !busy.contains(entry));
         let mut idle: Vec<EntryId> = idle.cloned().collect();
-        let spared = FREE_FOR_SHORT.min(self.entries.len().saturating_sub(1));
-        let mut made = Vec::new();
+        let reserved = RESERVED_ENTRIES.min(self.entries.len().saturating_sub(1));
+        let mut calls_made = Vec::new();
         for request in advice_requests {
             let workers = u32::try_from(request.workers.len()).unwrap_or(u32::MAX);
             let time = request.rule.call + request.rule.each * workers;
-            let kept = if time > LONG_CALL { spared } else { 0 };
-            if idle.len() <= kept {
+            let reserved_here = if time > LONG_CALL { reserved } else { 0 };
+            if idle.len() <= reserved_here {
                 continue;
             }
             let Some(entry) = idle.pop() else {
                 break;
             };
-            made.push(self.open(now, entry, request, time + CALL_SLACK));
+            calls_made.push(self.open(now, entry, request, time + CALL_SLACK));
         }
-        made
+        calls_made
     }
 
     fn open(
@@ -166,10 +166,10 @@
         request: AdviceRequest,
         time: Duration,
     ) -> AdviceCall {
-        self.last += 1;
+        self.last_id += 1;
         let AdviceRequest { key, queue, rule, workers } = request;
-        let call = AdviceCall { id: self.last, entry, key: key.clone(), workers, time };
-        self.steps.entry(key).or_default().asking = Some(call.id);
+        let call = AdviceCall { id: self.last_id, entry, key: key.clone(), workers, time };
+        self.steps.entry(key).or_default().open_call = Some(call.id);
         self.calls.insert(call.id, OpenCall { call: call.clone(), queue, rule, sent: now });
         call
     }
@@ -180,20 +180,25 @@
         now: Instant,
         id: AdviceId,
         allowed: Option<Vec<(WorkerId, TicketText)>>,
-        retry: Duration,
+        retry_delay: Duration,
     ) -> Option<AdviceKey> {
         let open = self.calls.remove(&id)?;
         let key = open.call.key.clone();
         let step = self.steps.get_mut(&key)?;
-        step.asking = None;
+        step.open_call = None;
         let Some(allowed) = allowed else {
-            step.retry = Some(now + retry);
+            step.retry_at = Some(now + retry_delay);
             return Some(key);
         };
         // Renewals say nothing of workers that were not asked about: counted as answers they taught a share of
         // 0.97 where a third is allowed.
-        let new: BTreeSet<WorkerId> =
-            open.call.workers.iter().filter(|worker| !step.knows(worker)).cloned().collect();
+        let new: BTreeSet<WorkerId> = open
+            .call
+            .workers
+            .iter()
+            .filter(|worker| !step.has_answer_for(worker))
+            .cloned()
+            .collect();
         let (sent, valid) = (open.sent, open.rule.valid);
         // A ticket's life may begin before its answer is sent: it is counted from the call.
         let end = sent + valid;
@@ -207,7 +212,7 @@
         }
         if !new.is_empty() {
             let share = newly_allowed as f64 / new.len() as f64;
-            let learned = self.shares.entry(open.queue).or_insert(FIRST_SHARE);
+            let learned = self.shares.entry(open.queue).or_insert(INITIAL_SHARE);
             *learned += (share - *learned) * SHARE_WEIGHT;
         }
         Some(key)
--- a/src/graph/changes.rs
+++ b/src/graph/changes.rs
@@ -19,7 +19,7 @@
 pub(crate) struct ChangeQueue {
     jobs: BTreeMap<GraphId, ChangeOrder>,
     order: BTreeMap<ChangeOrder, GraphId>,
-    last: u64,
+    last_number: u64,
 }
 
 impl ChangeQueue {
@@ -32,8 +32,8 @@
         if let Some(known) = known {
             self.order.remove(&known);
         }
-        self.last += 1;
-        let order = ChangeOrder { later: !urgent, number: self.last };
+        self.last_number += 1;
+        let order = ChangeOrder { later: !urgent, number: self.last_number };
         self.order.insert(order, job.clone());
         self.jobs.insert(job, order);
     }
@@ -44,9 +44,9 @@
     }
 
     /// Takes at most a number of them.
-    pub(crate) fn take(&mut self, most: usize) -> Vec<GraphId> {
+    pub(crate) fn take(&mut self, limit: usize) -> Vec<GraphId> {
         let mut taken = Vec::new();
-        while taken.len() < most
+        while taken.len() < limit
             && let Some((_, job)) = self.order.pop_first()
         {
             self.jobs.remove(&job);
--- a/src/graph/commit.rs
+++ b/src/graph/commit.rs
@@ -1,4 +1,4 @@
-//! What must be stored, gathered into groups that the store takes as a whole.
+//! Collects changes into groups that the store applies atomically.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,57 +14,59 @@
 use crate::graph::shard::ShardId;
 use crate::id::WorkerId;
 
-/// Number of a group.
+/// Number of a commit group.
 pub type GroupNumber = u64;
 
-/// Keys that jobs may take in one group: the store takes 32 in a transaction, three are for the
-/// group's own.
+/// Keys that jobs may use in one group: the store accepts 32 in a transaction, and the group itself
+/// needs three.
 pub(crate) const GROUP_KEYS: usize = 28;
-/// Part of a group that new jobs leave to changes, where both wait. In a burst at a store that takes 370 ms a
-/// group nine new jobs filled each, and verdicts waited until the burst was over.
-const CHANGE_SHARE: usize = 2;
-/// Keys of a new job where there are several leaders: its record, its entry in the index of all jobs, and the
-/// condition that there is none.
-const SHARDED_KEYS: usize = 3;
-/// How long changes that nobody waits for are gathered: ends are acknowledged this much later.
-const GATHER: Duration = Duration::from_millis(60);
-/// Shortest time from one group to the next: 400 writes a second are shared by all.
-const GROUP_GAP: Duration = Duration::from_millis(8);
+/// While changes wait, one part in this many of a group is left to them by new jobs. With a store
+/// that took 370 ms per group, a burst of new jobs, nine per group, filled every group, and
+/// verdicts waited until the burst was over.
+const CHANGE_KEY_DIVISOR: usize = 2;
+/// Keys of a new job where there are several leaders: its record, its entry in the index of all
+/// jobs, and the condition that it does not exist yet.
+const SHARDED_JOB_KEYS: usize = 3;
+/// How long changes are collected that no caller waits for; ends are acknowledged later by this
+/// time.
+const GATHER_TIME: Duration = Duration::from_millis(60);
+/// Shortest interval between groups: all leaders share 400 writes a second.
+const MIN_GROUP_INTERVAL: Duration = Duration::from_millis(8);
 
-/// Time until the next group after the store has refused one.
-const REFUSED_GAP: Duration = Duration::from_millis(100);
+/// Interval before the next group after the store has refused one.
+const REFUSED_GROUP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Changes that are stored together.
+/// Changes that are stored in one transaction.
 #[derive(Clone, Debug, Default)]
 pub struct CommitGroup {
-    /// Rises with each group of a leader.
+    /// Increases with each group of a leader.
     pub number: GroupNumber,
     /// Jobs that were submitted.
     pub added: Vec<GraphRecord>,
     /// Jobs with new progress.
     pub progress: Vec<(GraphId, GraphProgress)>,
-    /// Jobs that nobody may ask for any more.
+    /// Jobs whose retention has ended.
     pub removed: Vec<GraphId>,
-    /// Those of them that another shard's leader accepted.
+    /// Removed jobs that the leader of another shard accepted.
     pub removed_parts: BTreeSet<GraphId>,
     /// Notices to other shards.
     pub notices: Vec<ShardNotice>,
-    /// Notices to this shard that are done with.
+    /// Notices to this shard that have been handled.
     pub settled: Vec<(GraphId, NoticeKind)>,
-    /// All workers that may run something, where that has changed.
+    /// All workers that may have runs, if the set has changed.
     pub workers: Option<Vec<UsedWorker>>,
 }
 
-/// What a group makes true once it is stored.
+/// Effects of a group once it is stored.
 #[derive(Clone, Debug, Default)]
 pub struct GroupEffect {
-    /// Ends that may be acknowledged, by the life that lists them.
+    /// Number of the last end that may be acknowledged, by the worker instance that reported it.
     pub ends: BTreeMap<InstanceId, u64>,
-    /// Workers that the store now names.
+    /// Workers that are in the stored list from then on.
     pub stored_workers: BTreeSet<WorkerId>,
 }
 
-/// Gathers changes.
+/// Collects changes for the next group.
 #[derive(Debug, Default)]
 pub struct CommitQueue {
     /// Whether there are several leaders.
@@ -75,11 +77,11 @@
     notices: NoticeQueue,
     workers: bool,
     urgent: bool,
-    since: Option<Instant>,
-    last: GroupNumber,
+    gathering_since: Option<Instant>,
+    last_number: GroupNumber,
     sent: Option<Instant>,
-    open: Option<(CommitGroup, GroupEffect)>,
-    /// Since when the store has refused every group.
+    in_flight: Option<(CommitGroup, GroupEffect)>,
+    /// Time since which the store has refused every group.
     refused_since: Option<Instant>,
 }
 
@@ -89,46 +91,46 @@
         self.divided = divided;
     }
 
-    /// Another shard has to be told of a job; callers wait for it.
+    /// Adds a notice to another shard; callers wait for it.
     pub(crate) fn send_notice(&mut self, job: GraphId, shard: ShardId, kind: NoticeKind) {
         self.notices.send(job, shard, kind);
         self.urgent = true;
     }
 
-    /// A notice to this shard is done with.
+    /// Records that a notice to this shard has been handled.
     pub(crate) fn settle_notice(&mut self, job: GraphId, kind: NoticeKind, now: Instant) {
         self.notices.settle(job, kind);
         self.touch(now, false);
     }
 
-    /// A job was submitted.
+    /// Adds a submitted job.
     pub fn add(&mut self, job: GraphId) {
         self.added.insert(job);
         self.urgent = true;
     }
 
-    /// A job's progress changed; `urgent` where somebody waits for it.
+    /// Adds a job with new progress; `urgent` if a caller waits for it.
     pub fn change(&mut self, job: GraphId, now: Instant, urgent: bool) {
         self.changed.insert(job, urgent);
         self.touch(now, urgent);
     }
 
-    /// A job is to be forgotten.
+    /// Adds a job to remove.
     pub fn remove(&mut self, job: GraphId, now: Instant) {
         self.removed.insert(job);
         self.touch(now, false);
     }
 
-    /// The set of workers that may run something changed.
+    /// Records that the set of workers that may have runs has changed.
     pub fn note_workers(&mut self, now: Instant, urgent: bool) {
         self.workers = true;
         self.touch(now, urgent);
     }
 
-    /// Ends came in that change nothing but are to be acknowledged.
+    /// Makes a group due although no job has changed, so that ends can be acknowledged.
     pub fn touch(&mut self, now: Instant, urgent: bool) {
         self.urgent |= urgent;
-        self.since.get_or_insert(now);
+        self.gathering_since.get_or_insert(now);
     }
 
     /// Whether a job's submission may have reached the store.
@@ -136,12 +138,13 @@
         !self.added.contains(job)
     }
 
-    /// Jobs that are not part of a group yet.
+    /// Submitted jobs that are not in a group yet.
     pub(crate) fn waiting(&self) -> impl Iterator<Item = &GraphId> {
         self.added.iter()
     }
 
-    /// Takes back jobs that are not part of a group and that `given_up` tells.
+    /// Removes and returns submitted jobs that are not in a group yet and for which `given_up`
+    /// returns true.
     pub(crate) fn take_added(
         &mut self,
         mut given_up: impl FnMut(&GraphId) -> bool,
@@ -149,9 +152,10 @@
         self.added.extract_if(.., |id| given_up(id)).collect()
     }
 
-    /// Takes back a group that the store has surely not taken: all but its new jobs is due again.
+    /// Handles a group that the store has certainly not applied: everything in it except new jobs
+    /// is due again.
     pub(crate) fn refused(&mut self, number: GroupNumber, now: Instant) -> Option<CommitGroup> {
-        let (group, _) = self.open.take_if(|(group, _)| group.number == number)?;
+        let (group, _) = self.in_flight.take_if(|(group, _)| group.number == number)?;
         for (id, progress) in &group.progress {
             self.changed.insert(id.clone(), progress.verdict.is_some());
         }
@@ -163,81 +167,94 @@
             self.notices.settle(job.clone(), *kind);
         }
         self.workers |= group.workers.is_some();
-        self.since.get_or_insert(now);
+        self.gathering_since.get_or_insert(now);
         self.sent = Some(now);
         self.refused_since.get_or_insert(now);
         Some(group)
     }
 
-    /// Whether a group waits for the store.
+    /// Whether a group is in flight to the store.
     pub fn is_open(&self) -> bool {
-        self.open.is_some()
+        self.in_flight.is_some()
     }
 
-    /// When the next group is due, if there is anything to store.
+    /// When the next group is due; `None` if there is nothing to store or a group is in flight.
     pub fn due(&self) -> Option<Instant> {
-        if !self.has_some() || self.open.is_some() {
+        if !self.has_changes() || self.in_flight.is_some() {
             return None;
         }
-        let gap = if self.refused_since.is_some() { REFUSED_GAP } else { GROUP_GAP };
-        let spaced = self.sent.map(|sent| sent + gap);
-        let gathered = self.since.map(|since| since + GATHER);
-        match (self.urgent, spaced, gathered) {
-            (true, Some(spaced), _) => Some(spaced),
-            (true, None, _) => self.since.or(self.sent).or(gathered),
-            (false, Some(spaced), Some(gathered)) => Some(spaced.max(gathered)),
-            (false, _, gathered) => gathered,
+        let interval =
+            if self.refused_since.is_some() { REFUSED_GROUP_INTERVAL } else { MIN_GROUP_INTERVAL };
+        let after_interval = self.sent.map(|sent| sent + interval);
+        let after_gathering =
+            self.gathering_since.map(|gathering_since| gathering_since + GATHER_TIME);
+        match (self.urgent, after_interval, after_gathering) {
+            (true, Some(after_interval), _) => Some(after_interval),
+            (true, None, _) => self.gathering_since.or(self.sent).or(after_gathering),
+            (false, Some(after_interval), Some(after_gathering)) => {
+                Some(after_interval.max(after_gathering))
+            }
+            (false, _, after_gathering) => after_gathering,
         }
     }
 
     /// Whether a group should be made now.
     pub fn is_due(&self, now: Instant) -> bool {
-        self.has_some() && self.open.is_none() && self.due().is_none_or(|due| due <= now)
+        self.has_changes() && self.in_flight.is_none() && self.due().is_none_or(|due| due <= now)
     }
 
-    fn has_some(&self) -> bool {
-        !self.added.is_empty() || !self.notices.is_empty() || self.since.is_some()
+    fn has_changes(&self) -> bool {
+        !self.added.is_empty() || !self.notices.is_empty() || self.gathering_since.is_some()
     }
 
-    /// Takes the ids for the next group: submitted, changed, removed, and whether workers go along.
+    /// Removes and returns the ids of the changes for the next group.
     pub(crate) fn take(&mut self, now: Instant) -> GroupIds {
-        let mut room = GROUP_KEYS;
-        let job_keys = if self.divided { SHARDED_KEYS } else { 1 };
-        let kept = if self.changed.is_empty() { 0 } else { GROUP_KEYS / CHANGE_SHARE };
-        let mut add_room = room - kept;
-        let added = take_some(&mut self.added, &mut add_room, job_keys);
-        room = add_room + kept;
-        let changed = self.changed.take(room);
-        room -= changed.len();
-        let notices = self.notices.take_sent(&mut room);
-        let settled = self.notices.take_settled(&mut room);
-        let removed = take_some(&mut self.removed, &mut room, job_keys.max(2));
+        let mut keys_left = GROUP_KEYS;
+        let job_keys = if self.divided { SHARDED_JOB_KEYS } else { 1 };
+        let change_keys = if self.changed.is_empty() { 0 } else { GROUP_KEYS / CHANGE_KEY_DIVISOR };
+        let mut added_keys_left = keys_left - change_keys;
+        let added = take_within(&mut self.added, &mut added_keys_left, job_keys);
+        keys_left = added_keys_left + change_keys;
+        let changed = self.changed.take(keys_left);
+        keys_left -= changed.len();
+        let notices = self.notices.take_sent(&mut keys_left);
+        let settled = self.notices.take_settled(&mut keys_left);
+        let removed = take_within(&mut self.removed, &mut keys_left, job_keys.max(2));
         let workers = std::mem::take(&mut self.workers);
         let complete = self.changed.is_empty();
-        let rest = !(complete
+        let has_rest = !(complete
             && self.added.is_empty()
             && self.removed.is_empty()
             && self.notices.is_empty());
-        self.urgent = rest && self.urgent;
-        self.since = rest.then_some(now);
-        self.last += 1;
-        GroupIds { number: self.last, added, changed, notices, settled, removed, workers, complete }
+        self.urgent = has_rest && self.urgent;
+        self.gathering_since = has_rest.then_some(now);
+        self.last_number += 1;
+        GroupIds {
+            number: self.last_number,
+            added,
+            changed,
+            notices,
+            settled,
+            removed,
+            workers,
+            complete,
+        }
     }
 
-    /// Notes a group as sent.
+    /// Records that a group was sent.
     pub fn opened(&mut self, group: CommitGroup, effect: GroupEffect, now: Instant) {
         self.sent = Some(now);
-        self.open = Some((group, effect));
+        self.in_flight = Some((group, effect));
     }
 
-    /// Takes the group that was stored.
+    /// Removes and returns the group in flight once it is stored.
     pub fn stored(&mut self, number: GroupNumber) -> Option<(CommitGroup, GroupEffect)> {
         self.refused_since = None;
-        self.open.take_if(|(group, _)| group.number == number)
+        self.in_flight.take_if(|(group, _)| group.number == number)
     }
 }
 
-/// Ids for one group.
+/// Ids of the changes in one group.
 #[derive(Debug)]
 pub(crate) struct GroupIds {
     pub(crate) number: GroupNumber,
@@ -247,16 +264,17 @@
     pub(crate) settled: Vec<(GraphId, NoticeKind)>,
     pub(crate) removed: Vec<GraphId>,
     pub(crate) workers: bool,
-    /// Whether no changed job is left for a later group, so that all ends seen are in the store.
+    /// Whether no changed job is left for a later group, so that with this group all ends seen are
+    /// stored.
     pub(crate) complete: bool,
 }
 
-fn take_some(from: &mut BTreeSet<GraphId>, room: &mut usize, keys: usize) -> Vec<GraphId> {
+fn take_within(from: &mut BTreeSet<GraphId>, keys_left: &mut usize, keys: usize) -> Vec<GraphId> {
     let mut taken = Vec::new();
-    while *room >= keys
+    while *keys_left >= keys
         && let Some(id) = from.pop_first()
     {
-        *room -= keys;
+        *keys_left -= keys;
         taken.push(id);
     }
     taken
--- a/src/graph/controller.rs
+++ b/src/graph/controller.rs
@@ -1,4 +1,4 @@
-//! The leader of the job graphs: carries events between its tables and gives actions.
+//! The leader of the job graphs: applies events to its tables and emits actions.
 
 mod commands;
 mod registrations;
@@ -34,51 +34,51 @@
 use crate::graph::shard::ShardScope;
 use crate::id::{CallId, DomainId, EntryId, RackId, ServiceId, UnixMillis, WorkerId};
 
-/// Starts of one task that a leader may make: run numbers of later leaders are above.
-const RUNS_AN_EPOCH: RunNumber = 1 << 16;
-/// How long what an earlier leader left at a worker may run on: its lease, by a clock that is 2% slow,
-/// and the time to kill it.
-const LEASE_LIFE: Duration = WORKER_LEASE.saturating_add(Duration::from_millis(300));
-/// How long a rejected request may still arrive again: an entry gives up after three seconds.
-const REJECTED_TIME: Duration = Duration::from_secs(10);
-/// Pause before advice is asked for again after a call that failed.
-const ADVICE_PAUSE: Duration = Duration::from_millis(200);
-/// Shortest time from one pass to the next.
-const PASS_GAP: Duration = Duration::from_millis(4);
-/// Times the duration of a round that the next pass is away: passes take a fifth of the time at most,
-/// however many steps wait.
-const PASS_SHARE: u32 = 4;
-/// Shortest time between looks through all workers and runs: a leader of 350 workers has a thousand inputs
-/// a second, and all that a look finds may wait this long.
-const SWEEP_GAP: Duration = Duration::from_millis(20);
-/// Longest pause between passes for their cost.
-const LONGEST_PASS_GAP: Duration = Duration::from_millis(150);
-/// Longest time from one pass to the next while tasks wait.
-const PASS_REST: Duration = Duration::from_millis(50);
-
-/// Bounds that the deployment sets.
+/// Run numbers of a task that one epoch may use. Later epochs use higher numbers.
+const RUN_NUMBERS_PER_EPOCH: RunNumber = 1 << 16;
+/// Longest time that a run of an earlier leader goes on after that leader last extended its
+/// worker's lease: the lease, by a clock that is 2% slow, and the time to kill the run.
+const INHERITED_LEASE_TIME: Duration = WORKER_LEASE.saturating_add(Duration::from_millis(300));
+/// How long the request of a rejected job may arrive again: an entry gives up after three seconds.
+const REJECTION_RETENTION: Duration = Duration::from_secs(10);
+/// Delay before advice is requested again after a failed call.
+const ADVICE_RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Shortest time between the starts of two passes.
+const MIN_PASS_INTERVAL: Duration = Duration::from_millis(4);
+/// The next pass starts this many times the duration of a round after the last one, so that passes
+/// take a fifth of the time at most, however many steps wait.
+const PASS_INTERVAL_FACTOR: u32 = 4;
+/// Shortest time between sweeps over all workers and runs: a leader of 350 workers gets a thousand
+/// inputs a second, and everything that a sweep finds can wait this long.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(20);
+/// Upper bound of the interval that results from `PASS_INTERVAL_FACTOR`.
+const MAX_PASS_INTERVAL: Duration = Duration::from_millis(150);
+/// Interval of passes that no event has requested, for tasks that wait.
+const PERIODIC_PASS_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Limits that the deployment sets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GraphBounds {
-    /// Longest lease that a worker takes.
+    /// Longest lease that a worker accepts.
     pub longest_lease: Duration,
-    /// How long an ended job's state can be asked for.
+    /// How long the state of an ended job is kept for queries.
     pub retention: Duration,
-    /// How long a leader renews workers' leases after its own was renewed.
+    /// How long a leader extends worker leases after the last renewal of its own lease.
     pub lease_extension_window: Duration,
 }
 
-/// What a new leader starts from.
+/// State that a new leader restores from the store.
 #[derive(Debug, Default)]
 pub struct RestoredState {
-    /// All jobs that the store has.
+    /// All stored jobs with their progress.
     pub jobs: Vec<(GraphRecord, GraphProgress)>,
-    /// Workers that may run something.
+    /// Workers that may have runs.
     pub workers: Vec<UsedWorker>,
-    /// Whether there may be others: the list could not be read.
+    /// Whether there may be more such workers because the stored list could not be read.
     pub unknown_workers: bool,
 }
 
-/// Decides for all jobs and workers of its scope.
+/// Makes all decisions for the jobs and workers of its scope.
 #[derive(Debug)]
 pub struct GraphController {
     epoch: LeaderEpoch,
@@ -86,49 +86,51 @@
     scope: ShardScope,
     /// Workers of other shards.
     remote_workers: RemoteWorkerTable,
-    /// Whether registrations are still missing from what is known of the workers.
+    /// Whether the registrations of workers have not all been read yet.
     registrations_awaited: bool,
-    /// Jobs that wait for them.
-    held: Vec<DeferredSubmission>,
+    /// Jobs that wait for the registrations.
+    deferred: Vec<DeferredSubmission>,
     config: Option<Arc<QueueConfig>>,
     jobs: JobTable,
     instances: InstanceTable,
     advice: AdviceTable,
-    keeper: ReservationTable,
-    window: SendWindow,
+    reservations: ReservationTable,
+    send_window: SendWindow,
     commits: CommitQueue,
     waiters: BTreeMap<GraphId, Vec<(CallId, AttemptId)>>,
-    /// Crashes of workers that are not taken in yet.
+    /// Crashes of workers that have not been processed yet.
     crashes: Vec<WorkerCrash>,
-    /// Requests that were rejected, and when.
+    /// Time of rejection of each rejected request.
     rejected: BTreeMap<AttemptId, Instant>,
-    /// Registrations of services that nothing names, and when they are looked at again.
-    foreign: BTreeMap<WorkerId, WorkerRegistration>,
+    /// Registrations of workers whose service neither the configuration nor a job refers to.
+    unreferenced: BTreeMap<WorkerId, WorkerRegistration>,
+    /// When these registrations are checked again.
     next_review: Instant,
-    /// Workers from before this leader's time that have not been heard.
-    unheard: BTreeSet<WorkerId>,
-    /// Whether one of them was lost unheard, with whatever an earlier leader had started there.
+    /// Workers used by earlier leaders that have not answered this one yet.
+    uncontacted: BTreeSet<WorkerId>,
+    /// Whether one of them was lost before it answered, together with the runs that an earlier
+    /// leader had started there.
     lost_before_contact: bool,
-    /// When nothing that they were told before can run any more.
-    settled_at: Instant,
-    /// Whether runs that nobody was heard of have been given up.
-    voided: bool,
-    /// Whether the leader before has surely ended.
+    /// When no run started by an earlier leader can still be going on at such a worker.
+    inherited_leases_end: Instant,
+    /// Whether the runs at workers that never answered have been given up.
+    unseen_invalidated: bool,
+    /// Whether the previous leader is known to have ended.
     predecessor_ended: bool,
-    /// Until when leases of workers may be extended and tasks started.
-    authority: Instant,
-    /// When it was noticed last that the machine had been suspended, and for how long.
-    suspended: Option<(Instant, Duration)>,
+    /// Until when this leader may extend worker leases and start tasks.
+    authority_end: Instant,
+    /// When the last suspension of the machine was noticed, and how long it was.
+    last_suspension: Option<(Instant, Duration)>,
     deposed: bool,
     next_sweep: Instant,
     pass_wanted: bool,
     last_pass: Instant,
-    pass_gap: Duration,
+    pass_interval: Duration,
     actions: Vec<GraphAction>,
 }
 
 impl GraphController {
-    /// A leader under `epoch` that starts from what the store has.
+    /// Creates a leader with `epoch` from the stored state.
     pub fn new(
         now: Instant,
         unix: UnixMillis,
@@ -158,11 +160,11 @@
             let (id, recorded) = (&*job.spec.id, job.progress.recorded());
             info!(job = id, state:? = job.state(), recorded; "job restored");
         }
-        let mut unheard: BTreeSet<WorkerId> =
+        let mut uncontacted: BTreeSet<WorkerId> =
             state.workers.into_iter().map(|used| used.id).collect();
         if state.unknown_workers {
-            // No worker answers under this name: it is waited for until nothing can run any more.
-            unheard.insert(WorkerId::from(""));
+            // No worker has the empty id, so it stays in the set until no inherited run can go on.
+            uncontacted.insert(WorkerId::from(""));
         }
         Self {
             epoch,
@@ -170,44 +172,44 @@
             scope: ShardScope::default(),
             remote_workers: RemoteWorkerTable::default(),
             registrations_awaited: false,
-            held: Vec::new(),
+            deferred: Vec::new(),
             config: None,
             jobs,
             instances,
             advice: AdviceTable::default(),
-            keeper: ReservationTable::default(),
-            window: SendWindow::default(),
+            reservations: ReservationTable::default(),
+            send_window: SendWindow::default(),
             commits: CommitQueue::default(),
             waiters: BTreeMap::new(),
             crashes: Vec::new(),
             rejected: BTreeMap::new(),
-            foreign: BTreeMap::new(),
+            unreferenced: BTreeMap::new(),
             next_review: now,
-            unheard,
+            uncontacted,
             lost_before_contact: false,
-            settled_at: now + bounds.lease_extension_window + LEASE_LIFE,
-            voided: false,
+            inherited_leases_end: now + bounds.lease_extension_window + INHERITED_LEASE_TIME,
+            unseen_invalidated: false,
             predecessor_ended: false,
-            authority: now,
-            suspended: None,
+            authority_end: now,
+            last_suspension: None,
             deposed: false,
             next_sweep: now,
             pass_wanted: true,
             last_pass: now,
-            pass_gap: PASS_GAP,
+            pass_interval: MIN_PASS_INTERVAL,
             actions: Vec::new(),
         }
     }
 
-    /// Takes over a later epoch of the same leader: nobody else has led in between.
+    /// Switches to a later epoch of the same leader; no other leader was elected in between.
     pub fn renewed(&mut self, epoch: LeaderEpoch) {
         info!(epoch, before = self.epoch; "leadership renewed under a new epoch");
         self.epoch = epoch;
     }
 
-    /// Time since the last successful renewal of this leader's lease was sent.
+    /// Time since the request of the last successful renewal of this leader's lease was sent.
     pub fn lease_age(&self, now: Instant) -> Duration {
-        (now + self.bounds.lease_extension_window).saturating_duration_since(self.authority)
+        (now + self.bounds.lease_extension_window).saturating_duration_since(self.authority_end)
     }
 
     /// Epoch of this leader.
@@ -215,7 +217,7 @@
         self.epoch
     }
 
-    /// Whether a worker has shown that another leads.
+    /// Whether an answer of a worker has shown that there is a later leader.
     pub fn deposed(&self) -> bool {
         self.deposed
     }
@@ -235,37 +237,38 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// This leader's lease was renewed by a call sent at `sent`.
+    /// Records that a request sent at `sent` renewed this leader's lease.
     pub fn note_lease_renewal(&mut self, sent: Instant) {
-        let sent = match self.suspended {
+        let sent = match self.last_suspension {
             Some((at, gap)) if sent <= at => sent.checked_sub(gap).unwrap_or(self.last_pass),
             _ => sent,
         };
-        self.authority = self.authority.max(sent + self.bounds.lease_extension_window);
+        self.authority_end = self.authority_end.max(sent + self.bounds.lease_extension_window);
     }
 
-    /// Another may lead by now that takes this one for ended: nothing is started, and no worker's lease extended.
+    /// Stops all starts and extensions of worker leases, because another leader may have been
+    /// elected.
     pub fn revoke_authority(&mut self, now: Instant) {
-        self.authority = self.authority.min(now);
+        self.authority_end = self.authority_end.min(now);
     }
 
-    /// The leader before has surely ended: it extends no lease any more.
+    /// Records that the previous leader has ended and extends no more leases.
     pub fn note_predecessor_ended(&mut self, now: Instant) {
         if !self.predecessor_ended {
             self.predecessor_ended = true;
-            self.settled_at = self.settled_at.min(now + LEASE_LIFE);
-            info!(unheard = self.unheard.len(); "the leader before has ended");
+            self.inherited_leases_end = self.inherited_leases_end.min(now + INHERITED_LEASE_TIME);
+            info!(unheard = self.uncontacted.len(); "previous leader has ended");
         }
     }
 
-    /// The machine was suspended for `gap` that the steady clock did not count.
+    /// Records that the machine was suspended for `gap`, which the monotonic clock did not count.
     pub fn note_suspended(&mut self, now: Instant, gap: Duration) {
-        self.suspended = Some((now, gap));
+        self.last_suspension = Some((now, gap));
         warn!(gap_ms = gap.as_millis() as u64; "the machine was suspended");
-        self.authority = self.authority.checked_sub(gap).unwrap_or(self.last_pass);
+        self.authority_end = self.authority_end.checked_sub(gap).unwrap_or(self.last_pass);
     }
 
-    /// Puts a configuration in force; queues that are gone keep their last rule for their jobs.
+    /// Applies a configuration. Jobs of queues that it no longer has keep their last rule.
     pub fn set_config(&mut self, config: Arc<QueueConfig>) {
         if self.config.as_ref().is_some_and(|old| old.version >= config.version) {
             return;
@@ -276,17 +279,17 @@
             }
         }
         self.config = Some(config);
-        // Workers of services that it names are taken in at the next sweep.
+        // The next sweep registers workers of services that the configuration now names.
         self.next_review = self.last_pass;
         self.pass_wanted = true;
     }
 
-    /// Sets the entries that can ask for advice.
+    /// Sets the entries through which advice can be requested.
     pub fn set_entries(&mut self, entries: BTreeSet<EntryId>) {
         self.advice.set_entries(entries);
     }
 
-    /// Takes in the answer to a poll.
+    /// Handles the result of a poll.
     pub fn handle_poll_result(
         &mut self,
         now: Instant,
@@ -294,14 +297,14 @@
         id: &WorkerId,
         result: PollResult,
     ) {
-        let found = match result {
+        let events = match result {
             Ok(reply) => self.instances.handle_poll_result(now, id, reply),
             Err(failure) => self.instances.poll_failed(now, id, &failure),
         };
-        self.handle_worker_events_at(now, unix, found);
+        self.handle_worker_events_at(now, unix, events);
     }
 
-    /// Takes in the answer to a call for advice.
+    /// Handles the answer to a call for advice; `None` if there was none.
     pub fn handle_advice(
         &mut self,
         now: Instant,
@@ -310,66 +313,66 @@
     ) {
         let count = allowed.as_ref().map(Vec::len);
         info!(call = id, allowed:? = count; "advice answered");
-        if let Some((job, _)) = self.advice.answered(now, id, allowed, ADVICE_PAUSE) {
+        if let Some((job, _)) = self.advice.answered(now, id, allowed, ADVICE_RETRY_DELAY) {
             self.jobs.mark_schedulable(&job);
         }
         self.pass_wanted = true;
     }
 
-    /// Does what is due.
+    /// Runs everything that is due at `now`.
     pub fn tick(&mut self, now: Instant, unix: UnixMillis) {
-        let extend = now < self.authority && !self.deposed;
+        let extend = now < self.authority_end && !self.deposed;
         if now >= self.next_sweep {
-            self.next_sweep = now + SWEEP_GAP;
+            self.next_sweep = now + SWEEP_INTERVAL;
             self.sweep(now, unix, extend);
         }
         self.actions.extend(self.instances.due_polls(now, extend));
         self.review_crashes(now, unix);
-        self.reject_waiting(now);
-        self.release_overdue(now);
-        self.rejected.retain(|_, at| now.saturating_duration_since(*at) < REJECTED_TIME);
-        let rested = now.saturating_duration_since(self.last_pass);
-        let due = (self.pass_wanted && rested >= self.pass_gap) || rested >= self.pass_rest();
+        self.reject_overdue(now);
+        self.refuse_overdue(now);
+        self.rejected.retain(|_, at| now.saturating_duration_since(*at) < REJECTION_RETENTION);
+        let elapsed = now.saturating_duration_since(self.last_pass);
+        let due = (self.pass_wanted && elapsed >= self.pass_interval)
+            || elapsed >= self.periodic_pass_interval();
         if due && extend {
-            self.pass(now, unix);
+            self.run_pass(now, unix);
         }
-        self.store(now, unix);
+        self.commit_next_group(now, unix);
     }
 
-    /// Looks through all workers and runs for what time alone has brought about.
+    /// Checks all workers and runs for timeouts.
     fn sweep(&mut self, now: Instant, unix: UnixMillis, extend: bool) {
         self.invalidate_unseen_runs(now);
-        let mut found = self.instances.crash_suspicions(now);
-        found.extend(self.instances.expired_runs(now));
-        found.extend(self.instances.remove_vanished(now, now >= self.settled_at));
-        self.handle_worker_events_at(now, unix, found);
-        self.review_foreign(now);
+        let mut events = self.instances.crash_suspicions(now);
+        events.extend(self.instances.expired_runs(now));
+        events.extend(self.instances.remove_vanished(now, now >= self.inherited_leases_end));
+        self.handle_worker_events_at(now, unix, events);
+        self.review_unreferenced(now);
         self.remote_workers.forget_expired(now);
         self.resend(now, extend);
     }
 
-    /// Once nothing from before this leader's time can run any more, work of workers that were never heard is
-    /// begun again.
+    /// Starts the work of workers that never answered again, once no inherited run can still go on.
     fn invalidate_unseen_runs(&mut self, now: Instant) {
-        if self.voided || now < self.settled_at {
+        if self.unseen_invalidated || now < self.inherited_leases_end {
             return;
         }
-        self.voided = true;
-        let unsettled = self.unheard_domains();
+        self.unseen_invalidated = true;
+        let unsettled_domains = self.uncontacted_domains();
         let first = self.run_base() + 1;
-        for job in self.jobs.invalidate_unseen_runs(first, |job| unsettled.holds(job)) {
+        for job in self.jobs.invalidate_unseen_runs(first, |job| unsettled_domains.holds(job)) {
             self.commits.change(job, now, true);
         }
     }
 
-    /// When `tick` has something to do next.
+    /// When `tick` has to be called next.
     pub fn next_due(&self, now: Instant) -> Instant {
-        let mut due = self.last_pass + self.pass_rest();
+        let mut due = self.last_pass + self.periodic_pass_interval();
         if self.pass_wanted {
-            due = due.min(self.last_pass + self.pass_gap);
+            due = due.min(self.last_pass + self.pass_interval);
         }
         due = self.instances.next_poll().map_or(due, |poll| due.min(poll));
-        due = self.held.iter().map(|held| held.until).fold(due, Instant::min);
+        due = self.deferred.iter().map(|deferred| deferred.until).fold(due, Instant::min);
         if self.commits.is_due(now) || !self.crashes.is_empty() {
             return now;
         }
@@ -381,58 +384,61 @@
         self.commits.due().map_or(due, |commit| due.min(commit)).max(now)
     }
 
-    /// The last round of decisions took `cost` of wall time: passes take a bounded share of it.
+    /// Sets the interval between passes by the wall time `cost` of the last round of decisions, so
+    /// that passes take a bounded share of the time.
     pub fn note_pass_time(&mut self, cost: Duration) {
-        self.pass_gap = (cost * PASS_SHARE).clamp(PASS_GAP, LONGEST_PASS_GAP);
+        self.pass_interval =
+            (cost * PASS_INTERVAL_FACTOR).clamp(MIN_PASS_INTERVAL, MAX_PASS_INTERVAL);
     }
 
-    fn pass_rest(&self) -> Duration {
-        PASS_REST.max(self.pass_gap)
+    fn periodic_pass_interval(&self) -> Duration {
+        PERIODIC_PASS_INTERVAL.max(self.pass_interval)
     }
 
-    /// Where runs of an earlier leader may still go on unseen, or count: a task that is begun again has to be voided
-    /// before, or the end of its earlier run is acknowledged later.
-    fn unsettled(&self) -> UnsettledDomains {
-        match self.voided {
+    /// Failure domains in which runs of an earlier leader may go on, or their ends may still count.
+    /// Before a task is started again its earlier run has to be invalidated; else the end of that
+    /// run could still be acknowledged later.
+    fn unsettled_domains(&self) -> UnsettledDomains {
+        match self.unseen_invalidated {
             true => UnsettledDomains::default(),
-            false => self.unheard_domains(),
+            false => self.uncontacted_domains(),
         }
     }
 
-    fn unheard_domains(&self) -> UnsettledDomains {
-        let mut unsettled = UnsettledDomains::default();
-        for id in &self.unheard {
+    fn uncontacted_domains(&self) -> UnsettledDomains {
+        let mut unsettled_domains = UnsettledDomains::default();
+        for id in &self.uncontacted {
             match self.instances.get(id).map(|instance| &instance.registration.domain) {
                 Some(domain) if !domain.is_empty() => {
-                    unsettled.domains.insert(domain.clone());
+                    unsettled_domains.domains.insert(domain.clone());
                 }
-                _ => unsettled.unknown = true,
+                _ => unsettled_domains.unknown = true,
             }
         }
-        unsettled
+        unsettled_domains
     }
 
-    fn pass(&mut self, now: Instant, unix: UnixMillis) {
+    fn run_pass(&mut self, now: Instant, unix: UnixMillis) {
         self.last_pass = now;
         self.pass_wanted = false;
         if self.config.is_none() {
             return;
         }
-        let unsettled = self.unsettled();
+        let unsettled_domains = self.unsettled_domains();
         let jobs = &self.jobs;
-        self.keeper.prune(now, |task| {
+        self.reservations.prune(now, |task| {
             jobs.wants(task)
                 && jobs.get(&task.job).is_some_and(|job| !job.live.contains_key(&task.key))
         });
         let view = PassView {
             now,
             unix,
-            unsettled: &unsettled,
+            unsettled_domains: &unsettled_domains,
             jobs: &self.jobs,
             instances: &self.instances,
             advice: &self.advice,
-            keeper: &self.keeper,
-            unanswered: self.window.limit(),
+            reservations: &self.reservations,
+            max_unanswered: self.send_window.limit(),
             lost_before_contact: self.lost_before_contact,
         };
         let plan = PlacementPass::new(view).run();
@@ -440,7 +446,7 @@
             self.jobs.mark_unschedulable(id);
         }
         for start in &plan.starts {
-            self.begin(now, start, None);
+            self.start_task(now, start, None);
         }
         for gang in &plan.gangs {
             let base = self.run_base();
@@ -449,7 +455,7 @@
             };
             let run = gang.iter().map(next).max();
             for start in gang {
-                self.begin(now, start, run);
+                self.start_task(now, start, run);
             }
         }
         for (id, task) in &plan.announced {
@@ -469,22 +475,22 @@
         }
     }
 
-    /// Lets a job use another failure domain, once the store has that.
+    /// Allows a job another failure domain, which takes effect once it is stored.
     fn widen(&mut self, now: Instant, id: &GraphId, domain: DomainId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        info!(job = &**id, home:? = job.home, domain = &*domain; "another failure domain is used");
+        info!(job = &**id, home:? = job.home, domain = &*domain; "job may use another failure domain");
         metrics::counter!("kelplink_widened_jobs_total").increment(1);
         job.progress.domains.insert(domain);
         self.commits.change(id.clone(), now, true);
     }
 
     fn run_base(&self) -> RunNumber {
-        self.epoch.saturating_sub(1) * RUNS_AN_EPOCH
+        self.epoch.saturating_sub(1) * RUN_NUMBERS_PER_EPOCH
     }
 
-    /// Names of all tasks that run or may run, for the state dump.
+    /// Names of all tasks that run or may run, with their workers, for the state dump.
     pub fn live_tasks(&self) -> impl Iterator<Item = (TaskName, &WorkerId)> {
         self.jobs
             .iter()
@@ -492,7 +498,7 @@
     }
 }
 
-/// A worker of which only the store's note is known.
+/// Placeholder registration for a worker known only from the stored list of used workers.
 fn unregistered(used: &UsedWorker) -> WorkerRegistration {
     WorkerRegistration {
         id: used.id.clone(),
--- a/src/graph/controller/commands.rs
+++ b/src/graph/controller/commands.rs
@@ -1,4 +1,4 @@
-//! Starts and stops of runs, until their workers have answered.
+//! Sends starts and stops of runs and handles their results.
 
 use std::time::Duration;
 
@@ -17,21 +17,27 @@
 use crate::graph::worker::{RunPhase, WorkerRun};
 use crate::id::WorkerId;
 
-/// Sends of a start before it is stopped: a worker that answers neither is not well.
-const START_TRIES: u32 = 4;
-/// How long a worker that is not well is given no new work.
-const SHUN_UNWELL: Duration = Duration::from_millis(1_500);
-/// How long a worker that left a start unanswered is given no new work.
-const SHUN_SILENT: Duration = Duration::from_millis(700);
-/// How long a worker that refused a start for want of room is given no new work: its next list, which a
-/// poll brings within half a second at a busy worker, may show why.
-const SHUN_REFUSED: Duration = Duration::from_millis(250);
-/// Time from one stop of a run to the next, while it is not answered.
-const STOP_AGAIN: Duration = Duration::from_millis(400);
+/// Sends of a start before the run is stopped instead: a worker that answers none of them is not
+/// healthy.
+const MAX_START_TRIES: u32 = 4;
+/// How long a worker that reports itself unwell is excluded from new work.
+const UNWELL_EXCLUSION: Duration = Duration::from_millis(1_500);
+/// How long a worker that left a start unanswered is excluded from new work.
+const UNANSWERED_EXCLUSION: Duration = Duration::from_millis(700);
+/// How long a worker that refused a start for lack of capacity is excluded from new work. Its next
+/// run list, which a poll returns within half a second from a busy worker, may show the reason.
+const REFUSED_EXCLUSION: Duration = Duration::from_millis(250);
+/// Interval between sends of the stop of a run while there is no answer.
+const STOP_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
 impl GraphController {
     /// Starts a task on a worker.
-    pub(super) fn begin(&mut self, now: Instant, start: &PlannedStart, run: Option<RunNumber>) {
+    pub(super) fn start_task(
+        &mut self,
+        now: Instant,
+        start: &PlannedStart,
+        run: Option<RunNumber>,
+    ) {
         let base = self.run_base();
         let Some(job) = self.jobs.get(&start.job) else {
             return;
@@ -42,15 +48,15 @@
         let run = run.unwrap_or_else(|| job.next_run(&start.task, base));
         let task = job.task_name(start.task);
         let phase = RunPhase::Sent { tries: 0 };
-        let entry = WorkerRun {
+        let worker_run = WorkerRun {
             probation: Some(now + PROBATION),
             suspected: job.is_suspected(start.task),
             ..WorkerRun::new(run, phase, now, Some((job, step)))
         };
         let announced = self.jobs.consume_announcement(&task);
-        let entry = WorkerRun { suspicion_stored: announced, ..entry };
+        let worker_run = WorkerRun { suspicion_stored: announced, ..worker_run };
         if let Some(instance) = self.instances.get_mut(&start.worker) {
-            instance.add_run(task.clone(), entry);
+            instance.add_run(task.clone(), worker_run);
             if announced {
                 let worker = start.worker.clone();
                 let (address, instance_start) = (instance.address(), instance.instance_start);
@@ -64,7 +70,7 @@
         self.send_start(now, &start.worker, &task);
     }
 
-    /// Has the store note that a task may be started soon.
+    /// Has the store record that a task may be started soon.
     pub(super) fn announce(&mut self, now: Instant, job: &GraphId, task: TaskKey) {
         let task = TaskName::new(job.clone(), task);
         let base = self.run_base();
@@ -72,7 +78,7 @@
         self.commits.change(job.clone(), now, true);
     }
 
-    /// Sends the start of a run, again where it was sent before.
+    /// Sends the start of a run, for the first time or again.
     fn send_start(&mut self, now: Instant, worker: &WorkerId, task: &TaskName) {
         let Some(job) = self.jobs.get(&task.job) else {
             return;
@@ -80,32 +86,32 @@
         let key = (task.job.clone(), task.key.step);
         let ticket = self.advice.step(&key).and_then(|step| step.ticket(worker, now));
         let gang = job.step(task.key.step).is_some_and(|step| step.gang);
-        // In a gang one member's checkpoint holds for all.
-        let keeper = if gang { TaskKey { index: 0, ..task.key } } else { task.key };
-        let checkpoint = job.progress.saved.get(&keeper).cloned().unwrap_or_default();
+        // The tasks of a gang share the checkpoint of task 0.
+        let checkpoint_task = if gang { TaskKey { index: 0, ..task.key } } else { task.key };
+        let checkpoint = job.progress.saved.get(&checkpoint_task).cloned().unwrap_or_default();
         let payload = job.spec.payload.clone();
         let Some(instance) = self.instances.get_mut(worker) else {
             return;
         };
-        // Sent again to a worker that may be gone, a start extends no lease: its task ran elsewhere after
-        // 6.2 s in place of 4.6 s.
+        // A start that is sent again to a worker that may be gone does not extend its lease: with
+        // an extension its task ran elsewhere only after 6.2 s instead of 4.6 s.
         let before =
             instance.runs.get(task).and_then(|run| run.until).filter(|_| instance.misses > 0);
         let Some(until) = before.or_else(|| instance.extend_lease(now, WORKER_LEASE)) else {
             return;
         };
         let (address, instance_start) = (instance.address(), instance.instance_start);
-        let Some(entry) = instance.runs.get_mut(task) else {
+        let Some(worker_run) = instance.runs.get_mut(task) else {
             return;
         };
-        let run = entry.run;
-        let tries = match entry.phase {
+        let run = worker_run.run;
+        let tries = match worker_run.phase {
             RunPhase::Sent { tries } => tries + 1,
             RunPhase::Running { .. } | RunPhase::Stopping { .. } => return,
         };
-        entry.phase = RunPhase::Sent { tries };
-        entry.until = entry.until.max(Some(until));
-        entry.sends += 1;
+        worker_run.phase = RunPhase::Sent { tries };
+        worker_run.until = worker_run.until.max(Some(until));
+        worker_run.sends += 1;
         info!(task:% = task, run, worker = &**worker, tries, resumes = !checkpoint.is_empty(); "start sent");
         self.actions.push(GraphAction::Start(StartCommand {
             worker: worker.clone(),
@@ -120,7 +126,7 @@
         }));
     }
 
-    /// Takes in the answer to a start that was meant for a life of a worker.
+    /// Handles the result of a start that was sent to an instance of a worker.
     pub fn handle_start_result(
         &mut self,
         now: Instant,
@@ -130,7 +136,7 @@
         result: CommandResult,
     ) {
         if result.is_ok() {
-            // The run may have been given up or told to stop since.
+            // The run may have been given up or stopped in the meantime.
             self.note_begun(now, task, run, BeginEvidence::Answered);
         }
         let worker = &id.worker;
@@ -144,92 +150,95 @@
         if let Ok(clock) = &result {
             instance.note_answer(now, *clock);
         }
-        let sent = instance.runs.get(task).map(|entry| entry.since);
-        let reached = sent.and_then(|sent| instance.clock_reached_by(sent));
+        let sent = instance.runs.get(task).map(|worker_run| worker_run.since);
+        let min_clock = sent.and_then(|sent| instance.clock_reached_by(sent));
         let taken_by_newer_instance =
-            matches!((&result, reached), (Ok(clock), Some(least)) if *clock < least);
+            matches!((&result, min_clock), (Ok(clock), Some(least)) if *clock < least);
         if taken_by_newer_instance {
             instance.last_poll_answer = None;
         }
-        let Some(entry) = instance.runs.get_mut(task).filter(|entry| entry.run == run) else {
+        let Some(worker_run) =
+            instance.runs.get_mut(task).filter(|worker_run| worker_run.run == run)
+        else {
             return;
         };
-        let RunPhase::Sent { tries } = entry.phase else {
+        let RunPhase::Sent { tries } = worker_run.phase else {
             return;
         };
         match &result {
-            // What was sent again does not tell which send was answered.
+            // After a second send it is unknown which of them was answered.
             Ok(_) if tries == 1 => {
-                self.window.answered(now, now.saturating_duration_since(entry.since));
+                self.send_window.answered(now, now.saturating_duration_since(worker_run.since));
             }
-            Err(CallFailure::NoAnswer) => self.window.unanswered(now),
+            Err(CallFailure::NoAnswer) => self.send_window.unanswered(now),
             _ => {}
         }
         let failure = match result {
             Ok(clock) => {
-                entry.phase = RunPhase::Running { confirmed: clock };
-                entry.taken_by_newer_instance = taken_by_newer_instance.then_some(now);
-                entry.confirm(now);
-                let until = entry.until.filter(|_| tries == 1 && !taken_by_newer_instance);
+                worker_run.phase = RunPhase::Running { confirmed: clock };
+                worker_run.taken_by_newer_instance = taken_by_newer_instance.then_some(now);
+                worker_run.confirm(now);
+                let until = worker_run.until.filter(|_| tries == 1 && !taken_by_newer_instance);
                 instance.grant_lease(until);
                 return;
             }
             Err(failure) => failure,
         };
         warn!(task:% = task, run, worker = &**worker, tries, failure:?; "start failed");
-        // What was sent before without an answer may still be carried out: only a stop ends that.
-        let surely_not = tries == 1;
+        // An earlier send without an answer may still be carried out; only a stop rules that out.
+        let never_started = tries == 1;
         match failure {
             CallFailure::NoAnswer => {
                 instance.note_silence(now);
-                instance.excluded_until = Some(now + SHUN_SILENT);
-                match tries < START_TRIES && self.jobs.wants(task) {
+                instance.excluded_until = Some(now + UNANSWERED_EXCLUSION);
+                match tries < MAX_START_TRIES && self.jobs.wants(task) {
                     true => self.send_start(now, worker, task),
                     false => self.stop(now, worker, task, run),
                 }
                 return;
             }
-            CallFailure::NotSent => instance.excluded_until = Some(now + SHUN_SILENT),
+            CallFailure::NotSent => instance.excluded_until = Some(now + UNANSWERED_EXCLUSION),
             CallFailure::NothingThere => {
                 instance.note_refused(now);
-                instance.excluded_until = Some(now + SHUN_SILENT);
+                instance.excluded_until = Some(now + UNANSWERED_EXCLUSION);
             }
             CallFailure::Refused(WorkerRefusal::Unwell) => {
-                instance.excluded_until = Some(now + SHUN_UNWELL);
+                instance.excluded_until = Some(now + UNWELL_EXCLUSION);
             }
             CallFailure::Refused(WorkerRefusal::Deposed) => self.deposed = true,
             CallFailure::Refused(WorkerRefusal::OtherLife) => {
-                self.replaced(now, worker);
+                self.handle_replaced_instance(now, worker);
                 return;
             }
             CallFailure::Refused(WorkerRefusal::Ticket) => {
                 self.advice.refused(&(task.job.clone(), task.key.step), worker, now);
             }
-            // What is known of its room is wrong: chosen again at once, it refused a hundred starts a second.
+            // The known capacity of the worker is wrong. Without an exclusion it was chosen again
+            // at once and refused a hundred starts a second.
             CallFailure::Refused(WorkerRefusal::NoRoom | WorkerRefusal::Invalid) => {
-                instance.excluded_until = Some(now + SHUN_REFUSED);
+                instance.excluded_until = Some(now + REFUSED_EXCLUSION);
             }
             CallFailure::Refused(_) => {}
         }
-        match surely_not {
+        match never_started {
             true => self.withdraw(now, worker, task, run),
             false => self.stop(now, worker, task, run),
         }
     }
 
-    /// A worker has been replaced by another life of it: all its runs are lost.
-    fn replaced(&mut self, now: Instant, worker: &WorkerId) {
-        let found = self.instances.instance_replaced(now, worker);
-        self.handle_worker_events(now, found);
+    /// Handles the replacement of a worker by another instance: all its runs are lost.
+    fn handle_replaced_instance(&mut self, now: Instant, worker: &WorkerId) {
+        let events = self.instances.instance_replaced(now, worker);
+        self.handle_worker_events(now, events);
     }
 
-    /// A run that surely has not begun.
+    /// Removes a run that certainly has not begun.
     fn withdraw(&mut self, now: Instant, worker: &WorkerId, task: &TaskName, run: RunNumber) {
         if let Some(instance) = self.instances.get_mut(worker) {
             instance.remove_run(task);
         }
         let effect = self.jobs.withdraw(task, run);
-        self.apply(now, &task.job, effect);
+        self.apply_effect(now, &task.job, effect);
     }
 
     /// Stops a run.
@@ -243,13 +252,15 @@
         let Some(instance) = self.instances.get_mut(worker) else {
             return;
         };
-        let Some(entry) = instance.runs.get_mut(task).filter(|entry| entry.run == run) else {
+        let Some(worker_run) =
+            instance.runs.get_mut(task).filter(|worker_run| worker_run.run == run)
+        else {
             return;
         };
-        if matches!(entry.phase, RunPhase::Stopping { .. }) {
+        if matches!(worker_run.phase, RunPhase::Stopping { .. }) {
             return;
         }
-        entry.phase = RunPhase::Stopping { answered: None, sent: now };
+        worker_run.phase = RunPhase::Stopping { answered: None, sent: now };
         self.send_stop(worker, task, run);
     }
 
@@ -264,13 +275,13 @@
         self.actions.push(GraphAction::Stop { worker, instance_start, address, task, run });
     }
 
-    /// Stops runs of less urgent queues and keeps their room for a task.
+    /// Stops runs of less urgent queues and reserves their capacity for a task.
     pub(super) fn preempt(&mut self, now: Instant, plan: PlannedPreemption) {
         let PlannedPreemption { job, task, worker, need, victims } = plan;
         let name = TaskName::new(job, task);
-        info!(task:% = name, worker = &*worker, victims = victims.len(); "room is made");
+        info!(task:% = name, worker = &*worker, victims = victims.len(); "runs preempted for a task");
         metrics::counter!("kelplink_preempted_runs_total").increment(victims.len() as u64);
-        self.keeper.keep(now, name, worker.clone(), need);
+        self.reservations.keep(now, name, worker.clone(), need);
         for victim in victims {
             let run = self.instances.get(&worker).and_then(|instance| instance.runs.get(&victim));
             if let Some(run) = run.map(|run| run.run) {
@@ -279,7 +290,7 @@
         }
     }
 
-    /// Takes in the answer to a stop that was meant for a life of a worker.
+    /// Handles the result of a stop that was sent to an instance of a worker.
     pub fn handle_stop_result(
         &mut self,
         now: Instant,
@@ -299,24 +310,28 @@
         match result {
             Ok(clock) => {
                 instance.note_answer(now, clock);
-                if let Some(entry) = instance.runs.get_mut(task).filter(|entry| entry.run == run) {
-                    entry.phase = RunPhase::Stopping { answered: Some(clock), sent: now };
+                if let Some(worker_run) =
+                    instance.runs.get_mut(task).filter(|worker_run| worker_run.run == run)
+                {
+                    worker_run.phase = RunPhase::Stopping { answered: Some(clock), sent: now };
                 }
             }
             Err(CallFailure::Refused(WorkerRefusal::OtherLife)) => {
-                self.replaced(now, worker);
+                self.handle_replaced_instance(now, worker);
             }
             Err(CallFailure::Refused(WorkerRefusal::Deposed)) => self.deposed = true,
             Err(failure) => {
                 metrics::counter!("kelplink_failed_stops_total").increment(1);
-                let entry = instance.runs.get_mut(task).filter(|entry| entry.run == run);
-                if let Some(entry) = entry {
-                    entry.failed_stops += 1;
-                    // A worker that is away for its whole lease is sent each stop eleven times.
-                    if entry.failed_stops == 1 {
+                let worker_run =
+                    instance.runs.get_mut(task).filter(|worker_run| worker_run.run == run);
+                if let Some(worker_run) = worker_run {
+                    worker_run.failed_stops += 1;
+                    // Only the first failure is logged: each stop is sent eleven times to a worker
+                    // that is unreachable for its whole lease.
+                    if worker_run.failed_stops == 1 {
                         warn!(task:% = task, run, worker = &**worker, failure:?; "stop failed");
                     }
-                    if let RunPhase::Stopping { answered: None, sent } = &mut entry.phase {
+                    if let RunPhase::Stopping { answered: None, sent } = &mut worker_run.phase {
                         *sent = now;
                     }
                 }
@@ -324,26 +339,26 @@
         }
     }
 
-    /// Sends stops again that were not answered.
-    pub(super) fn resend(&mut self, now: Instant, authority: bool) {
-        if !authority {
+    /// Sends unanswered stops again.
+    pub(super) fn resend(&mut self, now: Instant, may_send: bool) {
+        if !may_send {
             return;
         }
         for instance in self.instances.iter_mut() {
             let (id, address, instance_start) =
                 (instance.id().clone(), instance.address(), instance.instance_start);
-            for (task, entry) in &mut instance.runs {
-                let RunPhase::Stopping { answered: None, sent } = &mut entry.phase else {
+            for (task, worker_run) in &mut instance.runs {
+                let RunPhase::Stopping { answered: None, sent } = &mut worker_run.phase else {
                     continue;
                 };
-                if now.saturating_duration_since(*sent) >= STOP_AGAIN {
+                if now.saturating_duration_since(*sent) >= STOP_RETRY_INTERVAL {
                     *sent = now;
                     self.actions.push(GraphAction::Stop {
                         worker: id.clone(),
                         instance_start,
                         address,
                         task: task.clone(),
-                        run: entry.run,
+                        run: worker_run.run,
                     });
                 }
             }
--- a/src/graph/controller/shares.rs
+++ b/src/graph/controller/shares.rs
@@ -1,4 +1,4 @@
-//! Jobs that several shards run, and jobs that are better placed in another shard.
+//! Jobs that several shards run, and jobs that belong in another shard.
 
 use std::time::Duration;
 
@@ -20,14 +20,16 @@
 use crate::id::UnixMillis;
 use crate::resources::ResourceVector;
 
-/// Part of the room beside lasting tasks that a gang may take where advice is needed: the rest is in use by other
-/// jobs, which stop for no gang. Of 22 tasks of 11 cores, for which 154 such places were allowed, none ever ran.
-const GANG_PART: f64 = 0.06;
-/// A share that another leader has accepted is never rejected, however long the store takes nothing.
-const NEVER: Duration = Duration::from_secs(366 * 24 * 3_600);
+/// Fraction of the capacity beside lasting tasks that a gang may take in a queue with placement
+/// advice. The rest is in use by other jobs, which are not stopped for a gang. Of 22 tasks of 11
+/// cores, for which 154 such places were allowed, none ever ran.
+const GANG_CAPACITY_FRACTION: f64 = 0.06;
+/// Submission deadline of a share that another leader has accepted: it is never rejected, however
+/// long the store refuses writes.
+const NO_DEADLINE: Duration = Duration::from_secs(366 * 24 * 3_600);
 
 impl GraphController {
-    /// Makes it the leader of one shard. To be called before anything else.
+    /// Restricts the leader to one shard. Must be called before any other method.
     pub fn with_scope(mut self, scope: ShardScope) -> Self {
         self.commits.set_divided(scope.plan.is_divided());
         for job in self.jobs.iter_mut() {
@@ -36,14 +38,14 @@
         self.scope = scope;
         let shared = self.jobs.iter().filter(|job| job.share.is_some());
         let shared: Vec<GraphId> = shared.map(|job| job.spec.id.clone()).collect();
-        // Whether the leader before has sent them is not known.
+        // It is unknown whether the previous leader sent these notices.
         for job in shared {
             self.send_notices(&job);
         }
         self
     }
 
-    /// A worker of another shard has registered or changed its registration.
+    /// Handles a new or changed registration of a worker of another shard.
     pub fn worker_registered_elsewhere(
         &mut self,
         shard: ShardId,
@@ -52,7 +54,7 @@
         self.remote_workers.register(shard, registration);
     }
 
-    /// The shard that should take a job in place of this one.
+    /// The shard that should run a job instead of this one.
     pub(super) fn better_shard(&self, now: Instant, record: &GraphRecord) -> Option<ShardId> {
         if !self.scope.plan.is_divided() {
             return None;
@@ -61,34 +63,35 @@
         self.remote_workers.better_shard(&self.scope, &record.spec, &record.rule, own)
     }
 
-    /// How the tasks of a new job are shared out among shards, where it is too wide for this one.
-    pub(super) fn share_out(&self, now: Instant, job: &GraphJob) -> Option<TaskShare> {
+    /// How the tasks of a new job are split among shards, if the job is too wide for this one.
+    pub(super) fn share_among_shards(&self, now: Instant, job: &GraphJob) -> Option<TaskShare> {
         if !self.scope.plan.is_divided() {
             return None;
         }
         let own = self.own_registrations(now);
         let weights = self.remote_workers.weights(&self.scope, &job.spec, &job.rule, own)?;
-        info!(job = &*job.spec.id, shards = weights.len(); "a job is shared out");
+        info!(job = &*job.spec.id, shards = weights.len(); "job shared among shards");
         metrics::counter!("kelplink_shared_jobs_total").increment(1);
         Some(TaskShare::new(self.scope.shard.clone(), &weights))
     }
 
-    /// Whether a gang of a job is too large for a shard: for a part of the room that lasting tasks leave on the
-    /// workers that advice allows, as it was answered so far.
+    /// Whether a gang of a job is too large for a shard. It may take a part of the capacity that
+    /// lasting tasks leave on the workers that advice allows, estimated from the answers so far.
     ///
-    /// Load it answers: gangs of 33 and 75 tasks of 15 cores in shards of 220 workers, a third of which may run
-    /// them, most of them with a lasting task of nine cores. Accepted, they waited for good; no other shard is
-    /// larger, so they are rejected at once.
+    /// For example, gangs of 33 and 75 tasks of 15 cores came to shards of 220 workers, a third of
+    /// which may run them, most of them with a lasting task of nine cores. Once accepted, they
+    /// never started. No other shard is larger, so such a gang is rejected at once.
     pub(super) fn is_too_large(&self, now: Instant, record: &GraphRecord) -> bool {
         let rule = &record.rule;
         let share = rule.advice.map_or(1.0, |_| self.advice.share(&rule.id));
-        let part = rule.advice.map_or(1.0, |_| GANG_PART);
+        let part = rule.advice.map_or(1.0, |_| GANG_CAPACITY_FRACTION);
         let holds = |step: &StepSpec| {
             let most = step.max_per_worker.unwrap_or(u32::MAX);
             let fitting = self.instances.iter().filter(|instance| instance.counts(now));
             let fitting = fitting.filter(|instance| can_run_on(step, rule, &instance.registration));
             let room = |instance: &WorkerInstance| {
-                tasks_that_fit(&self.room_beside_lasting(instance), &step.reservation()).min(most)
+                tasks_that_fit(&self.capacity_beside_lasting(instance), &step.reservation())
+                    .min(most)
             };
             fitting.map(|instance| f64::from(room(instance))).sum::<f64>() * share * part
         };
@@ -96,8 +99,8 @@
         self.scope.plan.is_divided() && gangs.any(|step| f64::from(step.count) > holds(step))
     }
 
-    /// Room of a worker without all but its lasting tasks.
-    fn room_beside_lasting(&self, instance: &WorkerInstance) -> ResourceVector {
+    /// Capacity of a worker less what its lasting tasks reserve.
+    fn capacity_beside_lasting(&self, instance: &WorkerInstance) -> ResourceVector {
         let lasts = |task: &TaskName| {
             let step = self.jobs.get(&task.job).and_then(|job| job.step(task.key.step));
             step.is_some_and(|step| step.lasting)
@@ -107,7 +110,7 @@
             .fold(instance.registration.capacity, |room, (_, run)| room.saturating_sub(&run.need))
     }
 
-    /// Workers of this shard that count where a job is judged.
+    /// Registrations of the workers of this shard that count in decisions on where a job runs.
     fn own_registrations(&self, now: Instant) -> impl Iterator<Item = &WorkerRegistration> + Clone {
         self.instances
             .iter()
@@ -115,7 +118,7 @@
             .map(|instance| &instance.registration)
     }
 
-    /// Tells the other shards of a job what they have to know by now.
+    /// Sends the notices on a job that the other shards need in its current state.
     pub(super) fn send_notices(&mut self, id: &GraphId) {
         let Some(job) = self.jobs.get(id).filter(|job| job.durable) else {
             return;
@@ -138,8 +141,8 @@
         }
     }
 
-    /// Takes a share of a job that another leader has accepted. It is run once this leader has stored it:
-    /// the store refuses that of a leader that has been succeeded.
+    /// Accepts a share of a job that another leader has accepted. The share runs once this leader
+    /// has stored it: the store refuses the write of a leader that has a successor.
     pub fn take_share(&mut self, now: Instant, record: GraphRecord) {
         let id = record.spec.id.clone();
         match self.jobs.get(&id) {
@@ -148,7 +151,7 @@
             None => {
                 let mut job = GraphJob::new(record, now);
                 job.shard = self.scope.shard.clone();
-                job.submit_deadline = now + NEVER;
+                job.submit_deadline = now + NO_DEADLINE;
                 self.jobs.insert(job);
                 self.commits.add(id);
                 self.pass_wanted = true;
@@ -156,22 +159,22 @@
         }
     }
 
-    /// A share of a job that was accepted here has failed, and so has the job.
+    /// Fails a job that was accepted here because its share in another shard has failed.
     pub fn fail_shared(&mut self, now: Instant, unix: UnixMillis, id: &GraphId) {
         match self.jobs.get(id) {
             Some(job) if job.is_over() && job.stored_verdict.is_none() => {}
             Some(job) if !job.is_over() => {
                 let effect = self.jobs.fail(id, unix);
-                info!(job = &**id, stops = effect.stops.len(); "a share of a job has failed");
+                info!(job = &**id, stops = effect.stops.len(); "share of a job failed in another shard");
                 self.advice.forget(id);
-                self.apply(now, id, effect);
+                self.apply_effect(now, id, effect);
             }
-            // It has ended, or is forgotten.
+            // The job has already ended or been removed.
             _ => self.commits.settle_notice(id.clone(), NoticeKind::Fail, now),
         }
     }
 
-    /// The owner of a job that is run here in part has ended it.
+    /// Ends the share of a job that its owning shard has ended.
     pub fn cancel_share(&mut self, now: Instant, unix: UnixMillis, id: &GraphId) {
         match self.jobs.get(id) {
             Some(job) if job.stored_verdict.is_some() => {
@@ -180,11 +183,11 @@
             Some(job) if job.is_over() => {}
             Some(_) => {
                 let effect = self.jobs.cancel(id, unix);
-                info!(job = &**id, stops = effect.stops.len(); "job ended by its owner");
+                info!(job = &**id, stops = effect.stops.len(); "job ended by its owning shard");
                 self.advice.forget(id);
-                self.apply(now, id, effect);
+                self.apply_effect(now, id, effect);
             }
-            // It was never begun here, or is forgotten.
+            // The share was never accepted here or has been removed.
             None => {
                 self.commits.settle_notice(id.clone(), NoticeKind::Start, now);
                 self.commits.settle_notice(id.clone(), NoticeKind::Cancel, now);
--- a/src/graph/controller/storing.rs
+++ b/src/graph/controller/storing.rs
@@ -1,4 +1,4 @@
-//! What goes to the store, and what follows once it is there.
+//! Writes changes to the store in groups and applies the effects of stored groups.
 
 use log::{info, warn};
 use tokio::time::Instant;
@@ -14,8 +14,8 @@
 use crate::id::UnixMillis;
 
 impl GraphController {
-    /// Makes the next group, if one is due.
-    pub(super) fn store(&mut self, now: Instant, unix: UnixMillis) {
+    /// Emits the next commit group, if one is due.
+    pub(super) fn commit_next_group(&mut self, now: Instant, unix: UnixMillis) {
         if !self.commits.is_due(now) {
             return;
         }
@@ -24,8 +24,8 @@
             self.commits.remove(id, now);
         }
         let ids = self.commits.take(now);
-        let effect = self.effect_of(&ids);
-        let group = self.group_of(ids);
+        let effect = self.group_effect(&ids);
+        let group = self.build_group(ids);
         let empty = group.added.is_empty()
             && group.progress.is_empty()
             && group.removed.is_empty()
@@ -40,7 +40,7 @@
         }
     }
 
-    fn effect_of(&self, ids: &GroupIds) -> GroupEffect {
+    fn group_effect(&self, ids: &GroupIds) -> GroupEffect {
         let mut effect = GroupEffect::default();
         for instance in self.instances.iter() {
             if ids.complete {
@@ -53,7 +53,7 @@
         effect
     }
 
-    fn group_of(&self, ids: GroupIds) -> CommitGroup {
+    fn build_group(&self, ids: GroupIds) -> CommitGroup {
         let record = |id: &GraphId| {
             let job = self.jobs.get(id)?;
             let (home, share) = (job.home.clone(), job.share.clone());
@@ -80,30 +80,33 @@
         }
     }
 
-    /// A group is stored.
+    /// Handles the store's confirmation of a group.
     pub fn handle_group_stored(&mut self, now: Instant, number: GroupNumber) {
         self.handle_group_partly_stored(now, number, &[]);
     }
 
-    /// A group is stored but for jobs that another shard's leader has accepted before.
+    /// Handles the confirmation of a group of which the store left out jobs that the leader of
+    /// another shard had accepted before.
     pub fn handle_group_partly_stored(
         &mut self,
         now: Instant,
         number: GroupNumber,
-        taken: &[GraphId],
+        accepted_elsewhere: &[GraphId],
     ) {
         let Some((group, effect)) = self.commits.stored(number) else {
-            warn!(number; "a group was stored that is not waited for");
+            warn!(number; "stored group was not in flight");
             return;
         };
         self.pass_wanted = true;
-        for id in taken {
-            info!(job = &**id, group = number; "job accepted in another shard before");
+        for id in accepted_elsewhere {
+            info!(job = &**id, group = number; "job was already accepted in another shard");
             self.jobs.remove(id);
             self.advice.forget(id);
             self.answer_waiters(id, GraphAnswer::Accepted);
         }
-        for record in group.added.iter().filter(|record| !taken.contains(&record.spec.id)) {
+        for record in
+            group.added.iter().filter(|record| !accepted_elsewhere.contains(&record.spec.id))
+        {
             let id = &record.spec.id;
             if let Some(job) = self.jobs.get_mut(id) {
                 job.durable = true;
@@ -123,7 +126,7 @@
                 job.stored_floors = progress.floors.clone();
                 job.stored_announced = progress.announced.clone();
             }
-            // Tasks may have waited for that.
+            // Tasks may have waited for this progress to be stored.
             self.jobs.mark_schedulable(&id);
             let Some(verdict) = progress.verdict else {
                 continue;
--- a/src/graph/controller/submissions.rs
+++ b/src/graph/controller/submissions.rs
@@ -1,4 +1,4 @@
-//! Jobs as they come in, are refused, and are cancelled.
+//! Submission, rejection and cancellation of jobs.
 
 use std::time::Duration;
 
@@ -13,22 +13,26 @@
 use crate::graph::name::{AttemptId, GraphId};
 use crate::id::{CallId, UnixMillis};
 
-/// Advice on when to come back to a caller whose job could not be taken: callers wait three seconds in
-/// all, so one second gives them two more tries. Pauses that grow with the outage up to four seconds
-/// were tried: fewer came back in time.
+/// Delay after which a caller whose job could not be accepted should retry. Callers wait three
+/// seconds in all, so one second allows two more tries. With delays that grew with the outage up to
+/// four seconds fewer callers succeeded in time.
 const RETRY_AFTER: Duration = Duration::from_millis(1_000);
-/// The same to one whose job no shard can hold: it can only be taken once the deployment has grown.
-const HOPELESS_PAUSE: Duration = Duration::from_secs(60);
-/// How long a job waits for a store that takes nothing before its caller is told to come back: with
-/// the pause that it is told, a caller's three seconds are covered by two tries.
-const STORE_WAIT: Duration = Duration::from_millis(900);
-/// Kept of a caller's patience for the way of a refusal: an answer after it would be taken for none.
-const REFUSAL_WAY: Duration = Duration::from_millis(40);
-/// Part of a short patience that is kept at most: a group is stored within 10 ms.
-const WAY_PART: u32 = 3;
+/// Retry delay for a job that no shard can hold: it can only be accepted once the deployment has
+/// grown.
+const UNPLACEABLE_RETRY_DELAY: Duration = Duration::from_secs(60);
+/// How long a job waits for a store that refuses writes before its caller is asked to retry.
+/// Together with the retry delay, two tries cover the three seconds that a caller waits.
+const MAX_STORE_WAIT: Duration = Duration::from_millis(900);
+/// Part of the caller timeout that is reserved for the transit of a refusal: after the timeout, the
+/// refusal would count as no answer.
+const REFUSAL_TRANSIT_TIME: Duration = Duration::from_millis(40);
+/// At most one part in this many of a short caller timeout is reserved for the transit: a group is
+/// stored within 10 ms.
+const TRANSIT_DIVISOR: u32 = 3;
 
-/// How long a job waits for the registrations to be read: an entry's try for a shard takes a second at most.
-const READING_WAIT: Duration = Duration::from_millis(400);
+/// How long a job waits for the registrations to be read: the try of an entry at one shard takes a
+/// second at most.
+const REGISTRATIONS_WAIT: Duration = Duration::from_millis(400);
 
 /// A job that waits for the registrations to be read.
 #[derive(Clone, Debug)]
@@ -38,15 +42,15 @@
     /// How long the caller waits, from `since`.
     caller_timeout: Duration,
     record: GraphRecord,
-    /// Whether it is to be taken though another shard might be better.
+    /// Whether this shard takes the job even if another might be better.
     forced: bool,
     since: Instant,
-    /// When its caller's entry is told to go on without.
+    /// When the job is refused if the registrations have not been read by then.
     pub(super) until: Instant,
 }
 
 impl GraphController {
-    /// Takes a job in, unless another shard's leader should have it.
+    /// Accepts a job unless the leader of another shard should run it.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -58,7 +62,7 @@
         let known = self.jobs.get(&record.spec.id).is_some();
         match self.better_shard(now, &record).filter(|_| !known) {
             _ if !known && self.awaits_registrations() => {
-                self.hold(now, call, attempt, caller_timeout, record, false);
+                self.defer(now, call, attempt, caller_timeout, record, false);
             }
             Some(shard) => {
                 self.actions.push(GraphAction::Answer(call, GraphAnswer::Elsewhere(shard)));
@@ -67,9 +71,10 @@
         }
     }
 
-    /// Takes a job in; the answer comes when it is stored. `attempt` tells the caller's requests
-    /// apart: one that was rejected stays so, should it arrive again.
-    /// The caller waits for `caller_timeout`.
+    /// Accepts a job; the answer is sent once the job is stored.
+    ///
+    /// `attempt` identifies the request of the caller: a rejected request stays rejected if it
+    /// arrives again. The caller waits for `caller_timeout`.
     pub fn submit_here(
         &mut self,
         now: Instant,
@@ -90,20 +95,28 @@
                 return;
             }
             None if self.awaits_registrations() => {
-                self.hold(now, call, attempt, caller_timeout, record, true);
+                self.defer(now, call, attempt, caller_timeout, record, true);
                 return;
             }
             None if self.is_too_large(now, &record) => {
-                self.reject_for(now, call, attempt, &id, "too large for a shard", HOPELESS_PAUSE);
+                self.reject_with_delay(
+                    now,
+                    call,
+                    attempt,
+                    &id,
+                    "too large for a shard",
+                    UNPLACEABLE_RETRY_DELAY,
+                );
                 return;
             }
             None => {
                 let mut job = GraphJob::new(record, now);
                 job.shard = self.scope.shard.clone();
                 job.home = choose_home(&self.instances, &job, now);
-                job.share = self.share_out(now, &job);
-                let way = REFUSAL_WAY.min(caller_timeout / WAY_PART);
-                job.submit_deadline = now + STORE_WAIT.min(caller_timeout.saturating_sub(way));
+                job.share = self.share_among_shards(now, &job);
+                let transit_time = REFUSAL_TRANSIT_TIME.min(caller_timeout / TRANSIT_DIVISOR);
+                job.submit_deadline =
+                    now + MAX_STORE_WAIT.min(caller_timeout.saturating_sub(transit_time));
                 self.jobs.insert(job);
                 self.commits.add(id.clone());
                 self.pass_wanted = true;
@@ -112,8 +125,8 @@
         self.waiters.entry(id).or_default().push((call, attempt));
     }
 
-    /// Keeps a job until the registrations have been read.
-    fn hold(
+    /// Defers a submission until the registrations have been read.
+    fn defer(
         &mut self,
         now: Instant,
         call: CallId,
@@ -122,10 +135,10 @@
         record: GraphRecord,
         forced: bool,
     ) {
-        let way = REFUSAL_WAY.min(caller_timeout / WAY_PART);
-        let until = now + READING_WAIT.min(caller_timeout.saturating_sub(way));
+        let transit_time = REFUSAL_TRANSIT_TIME.min(caller_timeout / TRANSIT_DIVISOR);
+        let until = now + REGISTRATIONS_WAIT.min(caller_timeout.saturating_sub(transit_time));
         let since = now;
-        self.held.push(DeferredSubmission {
+        self.deferred.push(DeferredSubmission {
             call,
             attempt,
             caller_timeout,
@@ -136,12 +149,13 @@
         });
     }
 
-    /// Takes in the jobs that have waited for the registrations.
-    pub(super) fn take_held(&mut self, now: Instant) {
-        for held in std::mem::take(&mut self.held) {
-            let DeferredSubmission { call, attempt, record, forced, .. } = held;
-            let caller_timeout =
-                held.caller_timeout.saturating_sub(now.saturating_duration_since(held.since));
+    /// Submits the jobs that have waited for the registrations.
+    pub(super) fn submit_deferred(&mut self, now: Instant) {
+        for deferred in std::mem::take(&mut self.deferred) {
+            let DeferredSubmission { call, attempt, record, forced, .. } = deferred;
+            let caller_timeout = deferred
+                .caller_timeout
+                .saturating_sub(now.saturating_duration_since(deferred.since));
             match forced {
                 true => self.submit_here(now, call, attempt, caller_timeout, record),
                 false => self.submit(now, call, attempt, caller_timeout, record),
@@ -149,17 +163,17 @@
         }
     }
 
-    /// Turns away jobs that have waited long for the registrations.
-    pub(super) fn release_overdue(&mut self, now: Instant) {
+    /// Refuses jobs that have waited too long for the registrations.
+    pub(super) fn refuse_overdue(&mut self, now: Instant) {
         let overdue: Vec<DeferredSubmission> =
-            self.held.extract_if(.., |held| held.until <= now).collect();
-        for held in overdue {
-            info!(job = &*held.record.spec.id; "job not taken: the registrations are not read yet");
-            self.actions.push(GraphAction::Answer(held.call, GraphAnswer::Unready));
+            self.deferred.extract_if(.., |deferred| deferred.until <= now).collect();
+        for deferred in overdue {
+            info!(job = &*deferred.record.spec.id; "job refused: the worker registrations are not read yet");
+            self.actions.push(GraphAction::Answer(deferred.call, GraphAnswer::Unready));
         }
     }
 
-    /// Rejects a request for good.
+    /// Rejects a request permanently.
     pub(super) fn reject(
         &mut self,
         now: Instant,
@@ -168,37 +182,37 @@
         id: &GraphId,
         reason: &'static str,
     ) {
-        self.reject_for(now, call, attempt, id, reason, RETRY_AFTER);
+        self.reject_with_delay(now, call, attempt, id, reason, RETRY_AFTER);
     }
 
-    /// Rejects a request for good; its caller may come back after `pause`.
-    fn reject_for(
+    /// Rejects a request permanently; the caller may submit the job anew after `retry_delay`.
+    fn reject_with_delay(
         &mut self,
         now: Instant,
         call: CallId,
         attempt: AttemptId,
         id: &GraphId,
         reason: &'static str,
-        pause: Duration,
+        retry_delay: Duration,
     ) {
-        let retry_ms = pause.as_millis() as u64;
+        let retry_ms = retry_delay.as_millis() as u64;
         warn!(job = &**id, reason, retry_ms; "job rejected");
         metrics::counter!("kelplink_rejected_jobs_total", "reason" => reason).increment(1);
         self.rejected.insert(attempt, now);
-        self.actions.push(GraphAction::Answer(call, GraphAnswer::Rejected(pause)));
+        self.actions.push(GraphAction::Answer(call, GraphAnswer::Rejected(retry_delay)));
     }
 
-    /// Rejects jobs that have waited long for a store that takes nothing, where it is sure that it has
-    /// not taken them.
-    pub(super) fn reject_waiting(&mut self, now: Instant) {
+    /// Rejects jobs that have waited too long for a store that refuses writes, if they are
+    /// certainly not stored.
+    pub(super) fn reject_overdue(&mut self, now: Instant) {
         let jobs = &self.jobs;
-        let waited = |id: &GraphId| jobs.get(id).is_none_or(|job| job.submit_deadline <= now);
-        for id in self.commits.take_added(waited) {
+        let is_overdue = |id: &GraphId| jobs.get(id).is_none_or(|job| job.submit_deadline <= now);
+        for id in self.commits.take_added(is_overdue) {
             self.reject_job(now, &id);
         }
     }
 
-    /// Rejects a job that is surely not stored.
+    /// Rejects a job that is certainly not stored.
     pub(super) fn reject_job(&mut self, now: Instant, id: &GraphId) {
         self.jobs.remove(id);
         self.advice.forget(id);
@@ -207,7 +221,7 @@
         }
     }
 
-    /// The store has surely not taken a group.
+    /// Handles a group that the store has certainly not applied.
     pub fn handle_group_refused(&mut self, now: Instant, number: GroupNumber) {
         let Some(group) = self.commits.refused(number, now) else {
             return;
@@ -215,10 +229,10 @@
         for record in group.added {
             self.commits.add(record.spec.id);
         }
-        self.reject_waiting(now);
+        self.reject_overdue(now);
     }
 
-    /// Cancels a job; the answer comes when that is stored.
+    /// Cancels a job; the answer is sent once the cancellation is stored.
     pub fn cancel(&mut self, now: Instant, unix: UnixMillis, call: CallId, id: &GraphId) {
         let own = self.jobs.get(id).filter(|job| !job.is_part());
         let state = own.map(GraphJob::state);
@@ -235,7 +249,7 @@
         info!(job = &**id, stops = effect.stops.len(); "job cancelled by its caller");
         self.waiters.entry(id.clone()).or_default().push((call, 0));
         self.advice.forget(id);
-        self.apply(now, id, effect);
+        self.apply_effect(now, id, effect);
     }
 
     pub(super) fn answer_waiters(&mut self, id: &GraphId, answer: GraphAnswer) {
@@ -244,16 +258,17 @@
         }
     }
 
-    /// Ends leadership: who waits is told that the job was not taken where that is sure.
+    /// Ends leadership: callers that wait are answered with a rejection if their job is certainly
+    /// not stored.
     pub fn resign(&mut self) {
-        for held in std::mem::take(&mut self.held) {
-            self.actions.push(GraphAction::Answer(held.call, GraphAnswer::Unready));
+        for deferred in std::mem::take(&mut self.deferred) {
+            self.actions.push(GraphAction::Answer(deferred.call, GraphAnswer::Unready));
         }
         let waiting = std::mem::take(&mut self.waiters);
         for (id, calls) in waiting {
-            let sure =
+            let not_stored =
                 self.jobs.get(&id).is_some_and(|job| !job.durable) && !self.commits.sent(&id);
-            if !sure {
+            if !not_stored {
                 continue;
             }
             for (call, _) in calls {
--- a/src/graph/home.rs
+++ b/src/graph/home.rs
@@ -21,7 +21,7 @@
 
 /// Longest objective of a job that has a home: what may take longer outlives a cut of a domain, which
 /// lasts 5 to 7 s on our users' deployments, and is better placed where there is room.
-const LONGEST_OBJECTIVE: Duration = Duration::from_secs(10);
+const MAX_HOME_OBJECTIVE: Duration = Duration::from_secs(10);
 
 /// The failure domain with most room for a new job; `None` for one that may run anywhere.
 pub(crate) fn choose_home(
@@ -29,21 +29,21 @@
     job: &GraphJob,
     now: Instant,
 ) -> Option<DomainId> {
-    let bound = job.spec.steps.iter().any(|step| step.gang || step.lasting);
-    if bound || job.spec.repeat.is_some() || job.objective() > LONGEST_OBJECTIVE {
+    let spans_domains = job.spec.steps.iter().any(|step| step.gang || step.lasting);
+    if spans_domains || job.spec.repeat.is_some() || job.objective() > MAX_HOME_OBJECTIVE {
         return None;
     }
     let widest = job.spec.steps.iter().max_by_key(|step| step.count)?;
-    let most = widest.max_per_worker.unwrap_or(u32::MAX);
-    let mut room: BTreeMap<&DomainId, u32> = BTreeMap::new();
+    let limit = widest.max_per_worker.unwrap_or(u32::MAX);
+    let mut tasks_by_domain: BTreeMap<&DomainId, u32> = BTreeMap::new();
     let service = &job.rule.service;
     for instance in instances.iter().filter(|instance| instance.accepts_work(now, SILENCE_LIMIT)) {
         if instance.registration.service == *service && instance.has_label(widest) {
-            *room.entry(&instance.registration.domain).or_default() +=
-                tasks_that_fit(&instance.free(), &widest.reservation()).min(most);
+            *tasks_by_domain.entry(&instance.registration.domain).or_default() +=
+                tasks_that_fit(&instance.free(), &widest.reservation()).min(limit);
         }
     }
-    room.into_iter().max_by_key(|(_, room)| *room).map(|(domain, _)| domain.clone())
+    tasks_by_domain.into_iter().max_by_key(|(_, tasks)| *tasks).map(|(domain, _)| domain.clone())
 }
 
 /// Whether a worker can run tasks of a step while it is empty, whatever advice says.
--- a/src/graph/placer.rs
+++ b/src/graph/placer.rs
@@ -1,9 +1,9 @@
-//! Which waiting task goes to which worker, and what advice is missing for it.
+//! Placement: assigns waiting tasks to workers and determines which advice is missing for it.
 //!
-//! A pass looks at a copy of the room on the workers and changes nothing; its plan is carried out by
-//! the controller. Urgent queues are served first, then by the latest start with which a job still earns what it can:
-//! all of its worth up to its objective, a part of it up to three times that, nothing later. What is past that comes
-//! after everything else.
+//! A pass works on a copy of the workers' capacity and changes nothing itself; the controller
+//! carries out its plan. Urgent queues are served first. Within a queue priority, steps are ordered
+//! by the latest start with which the job still keeps its value: all of it up to the job's
+//! objective, a part of it up to three times the objective, none later. Steps past that come last.
 
 mod advice_requests;
 mod gangs;
@@ -29,19 +29,21 @@
 use crate::graph::worker::{RunPhase, WorkerInstance};
 use crate::id::{DomainId, UnixMillis, WorkerId};
 
-/// Wishes for each entry that could make a call: long calls leave entries to the short ones behind.
-const WISHES_A_CALL: usize = 3;
-/// Multiple of its objective after which a job's result has lost its worth.
-const WORTHLESS_AFTER: u32 = 3;
-/// Open steps of one job that a pass looks at: four occurrences of the largest graph. Later ones wait
-/// for these: 15,000 that were due at once took 450 ms a pass with 250 workers, 50 ms so (debug build).
-const MOST_OPEN_STEPS: usize = 1_024;
+/// Advice requests collected for each entry that could make a call: long calls leave some entries
+/// to the short ones behind them.
+const REQUESTS_PER_CALL: usize = 3;
+/// Multiple of its objective after which the result of a job is worthless.
+const VALUE_EXPIRY_FACTOR: u32 = 3;
+/// Open steps of one job that a pass considers: four occurrences of the largest graph. Later steps
+/// wait for these. With 15,000 steps due at once a pass took 450 ms without this limit and 50 ms
+/// with it (250 workers, debug build).
+const MAX_OPEN_STEPS: usize = 1_024;
 
-/// One in this many workers at most is left out as faulty: a job that fails everywhere leaves failures
-/// on all of them, and work must not wait for that.
-const FAULTY_SHARE: usize = 4;
+/// At most one in this many workers is excluded as faulty: a job that fails everywhere leaves
+/// failures on all workers, and that must not stop all work.
+const FAULTY_WORKER_DIVISOR: usize = 4;
 
-/// A task that goes to a worker.
+/// The start of a task on a worker.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PlannedStart {
     /// The job.
@@ -52,22 +54,22 @@
     pub worker: WorkerId,
 }
 
-/// What a pass decided.
+/// Decisions of a pass.
 #[derive(Debug, Default)]
 pub struct PassPlan {
     /// Starts, in order.
     pub starts: Vec<PlannedStart>,
-    /// Tasks of one gang, started together.
+    /// Gangs; the tasks of each are started together.
     pub gangs: Vec<Vec<PlannedStart>>,
-    /// Tasks that fit, and whose starts the store has to have first.
+    /// Tasks that fit but whose starts must be stored first.
     pub announced: Vec<(GraphId, TaskKey)>,
-    /// Tasks for which less urgent runs are stopped.
+    /// Runs of less urgent queues to stop, with the tasks that need their capacity.
     pub preemptions: Vec<PlannedPreemption>,
-    /// Advice to ask for, most urgent first.
+    /// Advice to request, most urgent first.
     pub advice_requests: Vec<AdviceRequest>,
-    /// Jobs that should use another failure domain as well.
+    /// Jobs that should use an additional failure domain.
     pub widened: Vec<(GraphId, DomainId)>,
-    /// Jobs none of whose tasks waits.
+    /// Jobs without waiting tasks.
     pub settled: Vec<GraphId>,
 }
 
@@ -80,7 +82,7 @@
     late: bool,
 }
 
-/// A step with tasks to start, or whose turn comes soon.
+/// A step with tasks to start now or soon.
 struct OpenStep<'t> {
     order: ServingOrder,
     job: &'t GraphJob,
@@ -90,74 +92,78 @@
     ready: bool,
 }
 
-/// What a pass looks at.
+/// Input of a pass.
 #[derive(Clone, Copy)]
 pub struct PassView<'t> {
-    /// The time.
+    /// The current time.
     pub now: Instant,
-    /// The time since 1970.
+    /// The current time since 1970.
     pub unix: UnixMillis,
-    /// Where tasks of jobs from before this leader's time may still run.
-    pub unsettled: &'t UnsettledDomains,
+    /// Failure domains in which inherited tasks may still run.
+    pub unsettled_domains: &'t UnsettledDomains,
     /// All jobs.
     pub jobs: &'t JobTable,
     /// All workers.
     pub instances: &'t InstanceTable,
     /// All placement advice.
     pub advice: &'t AdviceTable,
-    /// Room that is kept for tasks.
-    pub keeper: &'t ReservationTable,
-    /// Starts that may be without an answer, but for one more gang.
-    pub unanswered: usize,
-    /// Whether workers from before this leader's time were lost before they were heard.
+    /// Capacity that is reserved for tasks.
+    pub reservations: &'t ReservationTable,
+    /// Limit of unanswered starts; one more gang may exceed it.
+    pub max_unanswered: usize,
+    /// Whether workers used by earlier leaders were lost before they answered this one.
     pub lost_before_contact: bool,
 }
 
-/// One pass.
+/// A single placement pass.
 pub struct PlacementPass<'t> {
     view: PassView<'t>,
-    /// Calls for advice that could be made now; more wishes would be in vain.
+    /// Limit of advice requests in the plan, as more could not be sent now.
     requests_left: usize,
     /// Starts that may be planned.
     starts_left: usize,
-    /// Runs that were chosen to be stopped in this pass.
+    /// Runs that this pass has chosen to stop.
     victims: BTreeSet<TaskName>,
-    rooms: BTreeMap<WorkerId, WorkerCapacity<'t>>,
+    capacities: BTreeMap<WorkerId, WorkerCapacity<'t>>,
     plan: PassPlan,
-    /// Wishes of steps that can place nothing now. They come last: before the others, those of twelve steps
-    /// kept a small step with room everywhere from ever being asked for.
+    /// Requests of steps that can place nothing now. They come last: placed before the others, the
+    /// requests of twelve such steps kept a small step from ever getting advice, although it had
+    /// capacity everywhere.
     renewals: Vec<AdviceRequest>,
 }
 
 impl<'t> PlacementPass<'t> {
-    /// Prepares a pass.
+    /// Creates a pass.
     pub fn new(view: PassView<'t>) -> Self {
-        let open =
+        let instances =
             view.instances.iter().filter(|instance| instance.accepts_work(view.now, SILENCE_LIMIT));
-        let room = |instance: &'t WorkerInstance| {
-            let free = instance.free().saturating_sub(&view.keeper.on(instance.id()));
+        let capacity = |instance: &'t WorkerInstance| {
+            let free = instance.free().saturating_sub(&view.reservations.on(instance.id()));
             let crashed = view.instances.crashed_lately(view.now, instance);
             (instance.id().clone(), WorkerCapacity::new(instance, free, crashed, view.now))
         };
-        let mut rooms: BTreeMap<WorkerId, WorkerCapacity<'t>> = open.map(room).collect();
-        leave_out_faulty(&mut rooms);
-        let requests_left = view.advice.idle() * WISHES_A_CALL;
-        let starts_left = view.unanswered.saturating_sub(unanswered(&rooms));
+        let mut capacities: BTreeMap<WorkerId, WorkerCapacity<'t>> =
+            instances.map(capacity).collect();
+        exclude_faulty(&mut capacities);
+        let requests_left = view.advice.idle() * REQUESTS_PER_CALL;
+        let starts_left = view.max_unanswered.saturating_sub(unanswered_starts(&capacities));
         Self {
             view,
             requests_left,
             starts_left,
             victims: BTreeSet::new(),
-            rooms,
+            capacities,
             plan: PassPlan::default(),
             renewals: Vec::new(),
         }
     }
 
-    /// Decides.
+    /// Makes the plan.
     pub fn run(mut self) -> PassPlan {
         let mut steps = Vec::new();
-        for job in self.view.jobs.schedulable().filter(|job| !self.view.unsettled.holds(job)) {
+        for job in
+            self.view.jobs.schedulable().filter(|job| !self.view.unsettled_domains.holds(job))
+        {
             let before = steps.len();
             self.open_steps(job, &mut steps);
             if steps.len() == before && job.spec.repeat.is_none() {
@@ -168,17 +174,17 @@
             (a.order, &a.job.spec.id, a.key).cmp(&(b.order, &b.job.spec.id, b.key))
         });
         for step in steps {
-            self.serve(&step);
+            self.place_step(&step);
         }
         self.plan.advice_requests.extend(self.renewals);
         self.plan
     }
 
     fn open_steps(&self, job: &'t GraphJob, steps: &mut Vec<OpenStep<'t>>) {
-        let most = steps.len() + MOST_OPEN_STEPS;
+        let limit = steps.len() + MAX_OPEN_STEPS;
         for occurrence in 0..job.spec.occurrences() {
             let due = job.spec.due(occurrence);
-            if due.is_some_and(|due| due > self.view.unix) || steps.len() >= most {
+            if due.is_some_and(|due| due > self.view.unix) || steps.len() >= limit {
                 break;
             }
             for (index, step) in job.spec.steps.iter().enumerate() {
@@ -192,10 +198,10 @@
                 }
                 let ready = job.durable && job.dependencies_done(key);
                 if ready {
-                    let may = |task: &TaskKey| {
+                    let may_start = |task: &TaskKey| {
                         job.not_before.get(task).is_none_or(|start| *start <= self.view.now)
                     };
-                    waiting.retain(may);
+                    waiting.retain(may_start);
                 }
                 let order = self.order(job, key, step, due);
                 steps.push(OpenStep { order, job, key, step, waiting, ready });
@@ -210,106 +216,106 @@
         step: &StepSpec,
         due: Option<UnixMillis>,
     ) -> ServingOrder {
-        let passed = match due {
+        let elapsed = match due {
             Some(due) => Duration::from_millis(self.view.unix.saturating_sub(due)),
             None => self.view.now.saturating_duration_since(job.submitted_at),
         };
-        let chain = job.critical_paths.get(key.step as usize).copied().unwrap_or_default();
+        let critical_path = job.critical_paths.get(key.step as usize).copied().unwrap_or_default();
         let objective = job.objective();
-        let late = !step.lasting && passed + chain > objective;
-        let cannot_fit = !step.lasting && passed + chain > objective * WORTHLESS_AFTER;
-        // Served after all that are in time, a backlog would wait until load falls and lose what it still can earn.
-        let loses_at = if late { objective * WORTHLESS_AFTER } else { objective };
-        let latest =
-            (self.view.now + loses_at).checked_sub(passed + chain).unwrap_or(self.view.now);
+        let late = !step.lasting && elapsed + critical_path > objective;
+        let cannot_fit = !step.lasting && elapsed + critical_path > objective * VALUE_EXPIRY_FACTOR;
+        // Late jobs are not served after all jobs in time: a backlog would wait until load falls
+        // and lose the value that it still has.
+        let loses_at = if late { objective * VALUE_EXPIRY_FACTOR } else { objective };
+        let latest = (self.view.now + loses_at)
+            .checked_sub(elapsed + critical_path)
+            .unwrap_or(self.view.now);
         ServingOrder { cannot_fit, priority: job.rule.priority, latest_start: latest, late }
     }
 
-    fn serve(&mut self, step: &OpenStep<'t>) {
+    fn place_step(&mut self, step: &OpenStep<'t>) {
         if step.waiting.is_empty() {
             return;
         }
         let candidates = self.candidates(step);
         let missing = match step.ready {
-            true if step.step.gang => self.serve_gang(step, &candidates),
-            true => self.serve_tasks(step, &candidates),
+            true if step.step.gang => self.place_gang(step, &candidates),
+            true => self.place_tasks(step, &candidates),
             false => step.waiting.len(),
         };
         if missing > 0
             && step.ready
-            && let Some(domain) = self.roomier_domain(step, missing)
+            && let Some(domain) = self.overflow_domain(step, missing)
         {
             self.plan.widened.push((step.job.spec.id.clone(), domain));
         }
-        if missing > 0 && (step.ready || self.comes_soon(step)) {
+        if missing > 0 && (step.ready || self.starts_soon(step)) {
             self.request_advice(step, missing);
         }
     }
 
-    /// Whether the store has to have the start of a task before it goes out.
+    /// Whether the start of a task must be stored before it is sent.
     fn needs_announcement(&self, step: &OpenStep<'t>, task: TaskKey) -> bool {
         step.job.needs_announcement(task, self.view.lost_before_contact)
     }
 
-    /// Workers that the step may use now.
+    /// Workers that the step may use at this time.
     fn candidates(&self, step: &OpenStep<'t>) -> Vec<WorkerId> {
         let rule = &step.job.rule;
-        let fits = |room: &&WorkerCapacity<'t>| {
-            room.instance.registration.service == rule.service
-                && step.job.may_use(&room.instance.registration.domain)
-                && room.instance.has_label(step.step)
+        let fits = |capacity: &&WorkerCapacity<'t>| {
+            capacity.instance.registration.service == rule.service
+                && step.job.may_use(&capacity.instance.registration.domain)
+                && capacity.instance.has_label(step.step)
         };
         if rule.advice.is_none() {
-            let fitting = self.rooms.values().filter(fits);
-            return fitting.map(|room| room.instance.id().clone()).collect();
+            let fitting = self.capacities.values().filter(fits);
+            return fitting.map(|capacity| capacity.instance.id().clone()).collect();
         }
         let key = (step.job.spec.id.clone(), step.key);
         let Some(advice) = self.view.advice.step(&key) else {
             return Vec::new();
         };
         let allowed = advice.tickets(self.view.now);
-        let rooms = allowed.filter_map(|worker| self.rooms.get(worker)).filter(fits);
-        rooms.map(|room| room.instance.id().clone()).collect()
+        let capacities = allowed.filter_map(|worker| self.capacities.get(worker)).filter(fits);
+        capacities.map(|capacity| capacity.instance.id().clone()).collect()
     }
 
-    /// The failure domain with most room among those that a job may not use yet, where those that it may
-    /// use cannot hold what is missing, whatever advice says.
-    fn roomier_domain(&self, step: &OpenStep<'t>, missing: usize) -> Option<DomainId> {
+    /// The failure domain with the most capacity for a step among those that its job may not use
+    /// yet. `None` if the domains that it may use can hold the missing tasks, regardless of advice.
+    fn overflow_domain(&self, step: &OpenStep<'t>, missing: usize) -> Option<DomainId> {
         let job = step.job;
         if job.home.is_none() || job.is_widening() {
             return None;
         }
         let key = (job.spec.id.clone(), step.key);
-        let known = self.view.advice.step(&key);
+        let advice = self.view.advice.step(&key);
         let step_capacity = self.step_capacity(step);
         let mut here = 0;
         let mut elsewhere: BTreeMap<&DomainId, usize> = BTreeMap::new();
-        for room in self.rooms.values() {
-            let (id, registration) = (room.instance.id(), &room.instance.registration);
+        for capacity in self.capacities.values() {
+            let (id, registration) = (capacity.instance.id(), &capacity.instance.registration);
             let usable = registration.service == job.rule.service
-                && room.instance.has_label(step.step)
-                && !known.is_some_and(|known| known.denied.contains(id));
-            let holds = step_capacity.holds(id, &room.free);
+                && capacity.instance.has_label(step.step)
+                && !advice.is_some_and(|advice| advice.denied.contains(id));
+            let tasks = step_capacity.holds(id, &capacity.free);
             match usable {
-                true if job.may_use(&registration.domain) => here += holds,
-                true => *elsewhere.entry(&registration.domain).or_default() += holds,
+                true if job.may_use(&registration.domain) => here += tasks,
+                true => *elsewhere.entry(&registration.domain).or_default() += tasks,
                 false => {}
             }
         }
-        let most_room = elsewhere.into_iter().max_by_key(|(_, holds)| *holds);
-        most_room
-            .filter(|(_, holds)| here < missing && *holds > 0)
-            .map(|(domain, _)| domain.clone())
+        let largest = elsewhere.into_iter().max_by_key(|(_, tasks)| *tasks);
+        largest.filter(|(_, tasks)| here < missing && *tasks > 0).map(|(domain, _)| domain.clone())
     }
 
-    /// What the step may still place on workers.
+    /// How many more tasks of the step each worker can hold.
     fn step_capacity(&self, step: &OpenStep<'t>) -> StepCapacity {
-        StepCapacity::new(step.step, self.counts(step, self.rooms.keys()))
+        StepCapacity::new(step.step, self.task_counts(step, self.capacities.keys()))
     }
 
-    /// Tasks of the step that hold room, have room kept or were given room in this pass, by worker;
-    /// nothing where the step has no limit.
-    fn counts<'w>(
+    /// Number of tasks of the step on each worker: running, with a reservation, or placed in this
+    /// pass. Empty if the step has no limit per worker.
+    fn task_counts<'w>(
         &self,
         step: &OpenStep<'t>,
         among: impl Iterator<Item = &'w WorkerId>,
@@ -319,40 +325,40 @@
         }
         let id = &step.job.spec.id;
         let count = |worker: &WorkerId| {
-            let room = self.rooms.get(worker)?;
-            let kept = self.view.keeper.count(worker, id, step.key);
-            Some((worker.clone(), room.instance.count_of(id, step.key) + kept))
+            let capacity = self.capacities.get(worker)?;
+            let reserved = self.view.reservations.count(worker, id, step.key);
+            Some((worker.clone(), capacity.instance.count_of(id, step.key) + reserved))
         };
-        let mut counts: BTreeMap<WorkerId, u32> = among.filter_map(count).collect();
-        // Room that was kept for a task is counted already.
-        let kept_here = |start: &PlannedStart| {
-            let kept = self.view.keeper.get(&step.job.task_name(start.task));
-            kept.is_some_and(|kept| kept.worker == start.worker)
+        let mut task_counts: BTreeMap<WorkerId, u32> = among.filter_map(count).collect();
+        // A task with a reservation is counted already.
+        let has_reservation_here = |start: &PlannedStart| {
+            let reserved = self.view.reservations.get(&step.job.task_name(start.task));
+            reserved.is_some_and(|reserved| reserved.worker == start.worker)
         };
-        let given = |start: &&PlannedStart| {
-            start.job == *id && start.task.step == step.key && !kept_here(start)
+        let planned = |start: &&PlannedStart| {
+            start.job == *id && start.task.step == step.key && !has_reservation_here(start)
         };
-        for start in self.plan.starts.iter().filter(given) {
-            if let Some(count) = counts.get_mut(&start.worker) {
+        for start in self.plan.starts.iter().filter(planned) {
+            if let Some(count) = task_counts.get_mut(&start.worker) {
                 *count += 1;
             }
         }
-        counts
+        task_counts
     }
 }
 
-/// Leaves out workers that are at fault, unless there are so many that the fault is not theirs.
-fn leave_out_faulty(rooms: &mut BTreeMap<WorkerId, WorkerCapacity<'_>>) {
-    let faulty = |room: &WorkerCapacity<'_>| room.health == HealthRank::Faulty;
-    let count = rooms.values().filter(|room| faulty(room)).count();
-    if count * FAULTY_SHARE <= rooms.len() {
-        rooms.retain(|_, room| !faulty(room));
+/// Excludes faulty workers, unless there are so many that the workers are unlikely to be the cause.
+fn exclude_faulty(capacities: &mut BTreeMap<WorkerId, WorkerCapacity<'_>>) {
+    let faulty = |capacity: &WorkerCapacity<'_>| capacity.health == HealthRank::Faulty;
+    let count = capacities.values().filter(|capacity| faulty(capacity)).count();
+    if count * FAULTY_WORKER_DIVISOR <= capacities.len() {
+        capacities.retain(|_, capacity| !faulty(capacity));
     }
 }
 
-/// Starts that workers have not answered. Those that are given no work do not count: many may have been
-/// cut off at once, and work must not wait for that.
-fn unanswered(rooms: &BTreeMap<WorkerId, WorkerCapacity<'_>>) -> usize {
-    let runs = rooms.values().flat_map(|room| room.instance.runs.values());
+/// Number of starts without an answer. Starts at excluded workers do not count: many workers may
+/// have been cut off at once, and that must not stop all work.
+fn unanswered_starts(capacities: &BTreeMap<WorkerId, WorkerCapacity<'_>>) -> usize {
+    let runs = capacities.values().flat_map(|capacity| capacity.instance.runs.values());
     runs.filter(|run| matches!(run.phase, RunPhase::Sent { .. })).count()
 }
--- a/src/graph/placer/advice_requests.rs
+++ b/src/graph/placer/advice_requests.rs
@@ -1,9 +1,9 @@
-//! Which advice a pass misses.
+//! Advice that a pass needs and does not have.
 
 use std::cmp::Reverse;
 use std::time::Duration;
 
-use crate::graph::advice::{AdviceRequest, MOST_ASKED};
+use crate::graph::advice::{AdviceRequest, MAX_WORKERS_PER_CALL};
 use crate::graph::job::GraphJob;
 use crate::graph::name::{StepKey, TaskKey};
 use crate::graph::placer::worker_capacity::WorkerCapacity;
@@ -11,23 +11,25 @@
 use crate::graph::queue::AdviceRule;
 use crate::id::WorkerId;
 
-/// How early advice is asked for a step whose turn has not come, beside the time of the call.
-const ASK_AHEAD: Duration = Duration::from_millis(60);
-/// Part of a call's own time that naming more workers may add: asking again costs the whole call.
-const CHEAP_PART: f64 = 0.5;
-/// Workers that a renewal is reckoned to name.
+/// How long before the expected start of a step its advice is requested, in addition to the time of
+/// the call.
+const REQUEST_LEAD: Duration = Duration::from_millis(60);
+/// Fraction of the fixed time of a call that naming more workers may add: another call costs the
+/// whole fixed time.
+const MAX_EXTRA_FRACTION: f64 = 0.5;
+/// Number of workers assumed for the time of a renewal.
 const RENEWED_WORKERS: u32 = 20;
 
 impl<'t> PlacementPass<'t> {
-    /// Whether the steps before will have ended by the time that advice could be there.
-    pub(super) fn comes_soon(&self, step: &OpenStep<'t>) -> bool {
+    /// Whether the steps that a step depends on will have ended by the time that advice can arrive.
+    pub(super) fn starts_soon(&self, step: &OpenStep<'t>) -> bool {
         if step.step.after.is_empty() {
             return true;
         }
         let Some(rule) = step.job.rule.advice else {
             return false;
         };
-        let ahead = rule.call + rule.each * 10 + ASK_AHEAD;
+        let ahead = rule.call + rule.each * 10 + REQUEST_LEAD;
         step.step.after.iter().all(|before| {
             let before = StepKey { step: *before, ..step.key };
             self.ends_within(step.job, before, ahead)
@@ -46,8 +48,8 @@
             .range(TaskKey { step: key, index: 0 }..=TaskKey { step: key, index: u32::MAX });
         let mut running = 0;
         for (task, run) in live {
-            let since = self.rooms.get(&run.worker).and_then(|room| {
-                room.instance.runs.get(&job.task_name(*task)).map(|run| run.since)
+            let since = self.capacities.get(&run.worker).and_then(|capacity| {
+                capacity.instance.runs.get(&job.task_name(*task)).map(|run| run.since)
             });
             let Some(since) = since else {
                 return false;
@@ -60,11 +62,12 @@
         running + job.progress.done_count(key) >= step.count
     }
 
-    /// Asks for advice: first about as many workers as one call bears, then again to keep the tickets
-    /// of those that are allowed, and about others that have room.
+    /// Requests advice: first on as many workers as one call allows, then again to renew the
+    /// tickets of the allowed workers and to ask about others that have capacity.
     ///
-    /// A step with tickets takes room as it comes free, and one call keeps them all for its whole
-    /// time; asking only once there is room was tried, and the room was gone when the answer came.
+    /// A step with tickets takes capacity as soon as it becomes free, and one call renews all of
+    /// them. Requesting advice only once there was capacity did not work: the capacity was gone
+    /// when the answer came.
     pub(super) fn request_advice(&mut self, step: &OpenStep<'t>, missing: usize) {
         let Some(rule) = step.job.rule.advice else {
             return;
@@ -86,147 +89,160 @@
         }
     }
 
-    /// Workers that a call for a step names: first those whose tickets it can use, then as many unknown
-    /// ones as are likely to do, then those whose tickets it may use later.
+    /// Workers that a call for a step names: first those whose tickets the step can use now, then
+    /// as many workers without advice as are likely to suffice, then those whose tickets it may use
+    /// later.
     fn workers_to_name(
         &self,
         step: &OpenStep<'t>,
         rule: &AdviceRule,
         missing: usize,
     ) -> NamedWorkers {
-        let first = self.knows_nothing(step);
-        let mut rooms = self.advice_candidates(step, rule);
-        if !first && rooms.are_full() {
-            self.note_preemptable_capacity(step, &mut rooms);
+        let first = self.has_no_advice(step);
+        let mut candidates = self.advice_candidates(step, rule);
+        if !first && candidates.are_full() {
+            self.note_preemptable_capacity(step, &mut candidates);
         }
-        let AdviceCandidates { ready, renewed, mut unknown } = rooms;
-        let looks_on = ready < missing && unknown.iter().any(|asked| asked.holds > 0);
-        let far = |asked: &AskedWorker<'_, 't>| {
-            step.step.affinity.as_ref().is_some_and(|rack| rack != asked.room.instance.rack())
+        let AdviceCandidates { ticketed_tasks, expiring, mut unknown } = candidates;
+        let needs_more =
+            ticketed_tasks < missing && unknown.iter().any(|asked| asked.task_count > 0);
+        let is_remote = |asked: &AskedWorker<'_, 't>| {
+            step.step.affinity.as_ref().is_some_and(|rack| rack != asked.capacity.instance.rack())
         };
         let disturbs = |asked: &AskedWorker<'_, 't>| {
-            (step.step.best_effort && asked.room.runs_latency_bound)
-                || (step.step.target.is_some() && asked.room.runs_best_effort)
+            (step.step.best_effort && asked.capacity.runs_latency_bound)
+                || (step.step.target.is_some() && asked.capacity.runs_best_effort)
         };
         let (mut usable, full): (Vec<_>, Vec<_>) =
-            renewed.into_iter().partition(|asked| asked.holds > 0);
-        let useful = first || looks_on || !usable.is_empty();
-        usable.sort_by_key(|asked| (far(asked), Reverse(asked.holds)));
+            expiring.into_iter().partition(|asked| asked.task_count > 0);
+        let useful = first || needs_more || !usable.is_empty();
+        usable.sort_by_key(|asked| (is_remote(asked), Reverse(asked.task_count)));
         unknown.sort_by_key(|asked| {
-            let none = asked.holds == 0;
-            let holds = Reverse(asked.holds.min(missing));
-            (far(asked), none, asked.room.health, disturbs(asked), holds)
+            let is_full = asked.task_count == 0;
+            let fitting = Reverse(asked.task_count.min(missing));
+            (is_remote(asked), is_full, asked.capacity.health, disturbs(asked), fitting)
         });
         let share = self.view.advice.share(&step.job.rule.id);
-        let cheap = worth_asking(rule);
+        let cheap_count = cheap_worker_count(rule);
         let mut workers: Vec<WorkerId> = usable.iter().map(AskedWorker::worker).collect();
-        workers.truncate(MOST_ASKED);
-        let mut expected = ready as f64;
-        for asked in unknown.iter().filter(|_| first || looks_on) {
-            let enough = expected >= missing as f64 && workers.len() >= cheap;
-            if enough || workers.len() >= MOST_ASKED {
+        workers.truncate(MAX_WORKERS_PER_CALL);
+        let mut expected = ticketed_tasks as f64;
+        for asked in unknown.iter().filter(|_| first || needs_more) {
+            let enough = expected >= missing as f64 && workers.len() >= cheap_count;
+            if enough || workers.len() >= MAX_WORKERS_PER_CALL {
                 break;
             }
-            expected += asked.holds as f64 * share;
+            expected += asked.task_count as f64 * share;
             workers.push(asked.worker());
         }
-        // Named first, workers that the step has filled took up each call: 96 of 130 tasks ran for good.
-        let left = MOST_ASKED - workers.len();
+        // Full workers come last: named first, they took up every call, and only 96 of 130 tasks
+        // ever ran.
+        let left = MAX_WORKERS_PER_CALL - workers.len();
         workers.extend(full.iter().take(left).map(AskedWorker::worker));
         NamedWorkers { workers, useful }
     }
 
-    /// Workers that a step might use, by what is known of them.
+    /// Workers that a step might use, grouped by the advice on them.
     fn advice_candidates(
         &self,
         step: &OpenStep<'t>,
         rule: &AdviceRule,
     ) -> AdviceCandidates<'_, 't> {
-        let known = self.view.advice.step(&(step.job.spec.id.clone(), step.key));
+        let advice = self.view.advice.step(&(step.job.spec.id.clone(), step.key));
         let need = step.step.reservation();
         let step_capacity = self.step_capacity(step);
-        let fitting = self.rooms.values().filter(|room| {
-            room.instance.registration.service == step.job.rule.service
-                && step.job.may_use(&room.instance.registration.domain)
-                && room.instance.has_label(step.step)
-                && need.fits(&room.instance.registration.capacity)
-                && step_capacity.allows(room.instance.id()) > 0
-                && !known.is_some_and(|known| known.denied.contains(room.instance.id()))
+        let fitting = self.capacities.values().filter(|capacity| {
+            capacity.instance.registration.service == step.job.rule.service
+                && step.job.may_use(&capacity.instance.registration.domain)
+                && capacity.instance.has_label(step.step)
+                && need.fits(&capacity.instance.registration.capacity)
+                && step_capacity.allows(capacity.instance.id()) > 0
+                && !advice.is_some_and(|advice| advice.denied.contains(capacity.instance.id()))
         });
         let renewal = self.view.now + rule.call + rule.each * RENEWED_WORKERS;
-        let mut rooms = AdviceCandidates::default();
-        for room in fitting {
-            let free = step_capacity.holds(room.instance.id(), &room.free);
-            match known.filter(|known| known.allowed.contains_key(room.instance.id())) {
-                Some(known) if known.ticket(room.instance.id(), renewal).is_some() => {
-                    rooms.ready += free;
+        let mut candidates = AdviceCandidates::default();
+        for capacity in fitting {
+            let fitting_tasks = step_capacity.holds(capacity.instance.id(), &capacity.free);
+            match advice.filter(|advice| advice.allowed.contains_key(capacity.instance.id())) {
+                Some(advice) if advice.ticket(capacity.instance.id(), renewal).is_some() => {
+                    candidates.ticketed_tasks += fitting_tasks;
+                }
+                Some(_) => {
+                    candidates.expiring.push(AskedWorker { capacity, task_count: fitting_tasks })
+                }
+                None => {
+                    candidates.unknown.push(AskedWorker { capacity, task_count: fitting_tasks })
                 }
-                Some(_) => rooms.renewed.push(AskedWorker { room, holds: free }),
-                None => rooms.unknown.push(AskedWorker { room, holds: free }),
             }
         }
-        rooms
+        candidates
     }
 
-    /// In a full service room counts that can be made: a step that asked about workers with free room only
-    /// had 16 of 40 lasting tasks run. One call's names are enough: looked for on all of 350 workers in each
-    /// wish, it had the leader's machine too slow to lead.
-    fn note_preemptable_capacity(&self, step: &OpenStep<'t>, rooms: &mut AdviceCandidates<'_, 't>) {
-        let asked = rooms.renewed.iter_mut().chain(&mut rooms.unknown);
-        let makeable = asked.filter(|asked| self.can_preempt(step, asked.room));
-        makeable.take(MOST_ASKED).for_each(|asked| asked.holds = 1);
+    /// Counts capacity that preemption can free, for use when there is no free capacity: a step
+    /// that asked only about workers with free capacity had 16 of 40 lasting tasks run. Stops after
+    /// as many workers as one call can name: checks of all 350 workers for each request slowed the
+    /// machine of the leader so much that it could not lead.
+    fn note_preemptable_capacity(
+        &self,
+        step: &OpenStep<'t>,
+        candidates: &mut AdviceCandidates<'_, 't>,
+    ) {
+        let asked = candidates.expiring.iter_mut().chain(&mut candidates.unknown);
+        let preemptible = asked.filter(|asked| self.can_preempt(step, asked.capacity));
+        preemptible.take(MAX_WORKERS_PER_CALL).for_each(|asked| asked.task_count = 1);
     }
 
-    fn knows_nothing(&self, step: &OpenStep<'t>) -> bool {
-        let known = self.view.advice.step(&(step.job.spec.id.clone(), step.key));
-        known.is_none_or(|known| known.allowed.is_empty() && known.denied.is_empty())
+    fn has_no_advice(&self, step: &OpenStep<'t>) -> bool {
+        let advice = self.view.advice.step(&(step.job.spec.id.clone(), step.key));
+        advice.is_none_or(|advice| advice.allowed.is_empty() && advice.denied.is_empty())
     }
 }
 
 /// A worker that a call may name.
 struct AskedWorker<'p, 't> {
-    room: &'p WorkerCapacity<'t>,
-    /// Tasks of the step that it could be given now.
-    holds: usize,
+    capacity: &'p WorkerCapacity<'t>,
+    /// Number of tasks of the step that the worker can take now.
+    task_count: usize,
 }
 
 impl AskedWorker<'_, '_> {
     fn worker(&self) -> WorkerId {
-        self.room.instance.id().clone()
+        self.capacity.instance.id().clone()
     }
 }
 
 /// Workers that a call names.
 struct NamedWorkers {
     workers: Vec<WorkerId>,
-    /// Whether the step could place a task on one of them now; else it only keeps tickets for later.
+    /// Whether the step could place a task on one of them now; otherwise the call only renews
+    /// tickets for later.
     useful: bool,
 }
 
 /// Workers that a step might use.
 #[derive(Default)]
 struct AdviceCandidates<'p, 't> {
-    /// Tasks that those with tickets hold.
-    ready: usize,
-    /// Those whose tickets run out.
-    renewed: Vec<AskedWorker<'p, 't>>,
-    /// Those that nobody has asked about.
+    /// Number of tasks that fit on the workers with valid tickets.
+    ticketed_tasks: usize,
+    /// Workers whose tickets expire soon.
+    expiring: Vec<AskedWorker<'p, 't>>,
+    /// Workers without advice.
     unknown: Vec<AskedWorker<'p, 't>>,
 }
 
 impl AdviceCandidates<'_, '_> {
-    /// Whether none of them has room.
+    /// Whether none of them has free capacity.
     fn are_full(&self) -> bool {
-        let mut named = self.renewed.iter().chain(&self.unknown);
-        self.ready == 0 && named.all(|asked| asked.holds == 0)
+        let mut named = self.expiring.iter().chain(&self.unknown);
+        self.ticketed_tasks == 0 && named.all(|asked| asked.task_count == 0)
     }
 }
 
-/// Workers that one call may as well ask about: those whose own time is a small part of the call's.
-fn worth_asking(rule: &AdviceRule) -> usize {
+/// Number of workers that add only a small part to the fixed time of a call.
+fn cheap_worker_count(rule: &AdviceRule) -> usize {
     let each = rule.each.as_secs_f64();
     match each > 0.0 {
-        true => (rule.call.as_secs_f64() * CHEAP_PART / each) as usize,
-        false => MOST_ASKED,
+        true => (rule.call.as_secs_f64() * MAX_EXTRA_FRACTION / each) as usize,
+        false => MAX_WORKERS_PER_CALL,
     }
 }
--- a/src/graph/placer/gangs.rs
+++ b/src/graph/placer/gangs.rs
@@ -1,4 +1,4 @@
-//! Where the tasks of a gang go: all of them or none.
+//! Placement of gangs: all tasks of a gang or none.
 
 use std::collections::BTreeMap;
 
@@ -9,40 +9,42 @@
 
 impl<'t> PlacementPass<'t> {
     /// Places all tasks of a gang or none.
-    pub(super) fn serve_gang(&mut self, step: &OpenStep<'t>, candidates: &[WorkerId]) -> usize {
-        let all = step.step.count as usize;
-        let open = step.waiting.len();
+    pub(super) fn place_gang(&mut self, step: &OpenStep<'t>, candidates: &[WorkerId]) -> usize {
+        let gang_size = step.step.count as usize;
+        let waiting = step.waiting.len();
         let done = step.job.progress.done_count(step.key) as usize;
-        if open + done < all || self.starts_left == 0 {
+        if waiting + done < gang_size || self.starts_left == 0 {
             return 0;
         }
-        let mut sets: Vec<Vec<WorkerId>> = Vec::new();
+        let mut worker_sets: Vec<Vec<WorkerId>> = Vec::new();
         if step.step.one_rack {
             let mut racks: BTreeMap<&RackId, Vec<WorkerId>> = BTreeMap::new();
             for id in candidates {
-                if let Some(room) = self.rooms.get(id) {
-                    racks.entry(room.instance.rack()).or_default().push(id.clone());
+                if let Some(capacity) = self.capacities.get(id) {
+                    racks.entry(capacity.instance.rack()).or_default().push(id.clone());
                 }
             }
-            sets.extend(racks.into_values());
+            worker_sets.extend(racks.into_values());
         }
-        // A step that lasts is never late: it would wait for good for a rack that can hold it.
-        let waits = step.step.one_rack && !step.order.late && !step.step.lasting;
-        if !waits || !self.some_rack_holds(step) {
-            sets.push(candidates.to_vec());
+        // A lasting step is never late, so it would wait forever for a rack that can hold it.
+        let waits_for_rack = step.step.one_rack && !step.order.late && !step.step.lasting;
+        if !waits_for_rack || !self.fits_empty_rack(step) {
+            worker_sets.push(candidates.to_vec());
         }
-        let placed = sets.into_iter().find_map(|set| self.try_gang(step, &set));
+        let placed =
+            worker_sets.into_iter().find_map(|worker_set| self.try_place_gang(step, &worker_set));
         match placed {
             Some(starts) => {
                 self.starts_left = self.starts_left.saturating_sub(starts.len());
                 self.start_gang(step, starts);
                 0
             }
-            None => open,
+            None => waiting,
         }
     }
 
-    /// Starts a gang that fits, or has it wait whole until the store has the starts that have to be announced.
+    /// Starts a gang that fits, or announces the starts that must be stored first; the whole gang
+    /// waits for these.
     fn start_gang(&mut self, step: &OpenStep<'t>, starts: Vec<PlannedStart>) {
         let unannounced = starts.iter().filter(|start| self.needs_announcement(step, start.task));
         let unannounced: Vec<_> =
@@ -53,46 +55,47 @@
         }
     }
 
-    /// Whether a rack holds all tasks of a gang while it is empty, with the workers that advice has not denied. A
-    /// gang of 33 tasks, two a worker, in racks of twelve workers waited 18 s for one, in a service half empty.
-    fn some_rack_holds(&self, step: &OpenStep<'t>) -> bool {
+    /// Whether some rack could hold all tasks of a gang if it were empty, on the workers that
+    /// advice has not denied. Without this check a gang of 33 tasks, at most two per worker, waited
+    /// 18 s for a rack where racks have twelve workers, while half of the service was free.
+    fn fits_empty_rack(&self, step: &OpenStep<'t>) -> bool {
         let (need, rule) = (step.step.reservation(), &step.job.rule);
-        let most = step.step.max_per_worker.unwrap_or(u32::MAX);
-        let known = self.view.advice.step(&(step.job.spec.id.clone(), step.key));
+        let limit = step.step.max_per_worker.unwrap_or(u32::MAX);
+        let advice = self.view.advice.step(&(step.job.spec.id.clone(), step.key));
         let mut racks: BTreeMap<&RackId, u32> = BTreeMap::new();
-        for room in self.rooms.values() {
-            let registration = &room.instance.registration;
+        for capacity in self.capacities.values() {
+            let registration = &capacity.instance.registration;
             let usable = registration.service == rule.service
                 && step.job.may_use(&registration.domain)
-                && room.instance.has_label(step.step)
-                && !known.is_some_and(|known| known.denied.contains(&registration.id));
+                && capacity.instance.has_label(step.step)
+                && !advice.is_some_and(|advice| advice.denied.contains(&registration.id));
             if usable {
-                let held = racks.entry(&registration.rack).or_default();
-                *held =
-                    held.saturating_add(tasks_that_fit(&registration.capacity, &need).min(most));
+                let task_count = racks.entry(&registration.rack).or_default();
+                *task_count = task_count
+                    .saturating_add(tasks_that_fit(&registration.capacity, &need).min(limit));
             }
         }
-        racks.values().any(|held| *held >= step.step.count)
+        racks.values().any(|task_count| *task_count >= step.step.count)
     }
 
-    pub(super) fn try_gang(
+    pub(super) fn try_place_gang(
         &mut self,
         step: &OpenStep<'t>,
-        set: &[WorkerId],
+        worker_set: &[WorkerId],
     ) -> Option<Vec<PlannedStart>> {
-        let mut counts = self.counts(step, set.iter());
+        let mut task_counts = self.task_counts(step, worker_set.iter());
         let mut starts = Vec::new();
-        let checkpoint: Vec<(WorkerId, WorkerCapacity<'t>)> = set
+        let previous: Vec<(WorkerId, WorkerCapacity<'t>)> = worker_set
             .iter()
-            .filter_map(|id| self.rooms.get(id).map(|room| (id.clone(), room.clone())))
+            .filter_map(|id| self.capacities.get(id).map(|capacity| (id.clone(), capacity.clone())))
             .collect();
         for task in &step.waiting {
-            let Some(worker) = self.choose(step, *task, set, &counts) else {
-                self.rooms.extend(checkpoint);
+            let Some(worker) = self.choose_worker(step, *task, worker_set, &task_counts) else {
+                self.capacities.extend(previous);
                 return None;
             };
-            *counts.entry(worker.clone()).or_default() += 1;
-            self.take(&worker, step, *task);
+            *task_counts.entry(worker.clone()).or_default() += 1;
+            self.allocate(&worker, step, *task);
             let job = step.job.spec.id.clone();
             starts.push(PlannedStart { job, task: *task, worker });
         }
--- a/src/graph/placer/worker_capacity.rs
+++ b/src/graph/placer/worker_capacity.rs
@@ -1,4 +1,4 @@
-//! Room on a worker while a pass goes on.
+//! Capacity of a worker during a placement pass.
 
 use std::collections::BTreeSet;
 
@@ -9,24 +9,24 @@
 use crate::graph::worker::WorkerInstance;
 use crate::resources::ResourceVector;
 
-/// Room on a worker as the pass goes on.
+/// Remaining capacity of a worker during a pass.
 #[derive(Clone)]
 pub(super) struct WorkerCapacity<'t> {
     pub(super) instance: &'t WorkerInstance,
     pub(super) health: HealthRank,
-    /// Free and not kept for a task.
+    /// Free and not reserved.
     pub(super) free: ResourceVector,
-    /// Free, kept or not.
-    pub(super) spare: ResourceVector,
-    /// Processors that best-effort tasks here would use.
-    pub(super) wanted: u32,
+    /// Free, including what is reserved.
+    pub(super) free_with_reserved: ResourceVector,
+    /// Processors, in millicores, that the best-effort tasks on the worker would use.
+    pub(super) best_effort_demand: u32,
     pub(super) runs_latency_bound: bool,
     pub(super) runs_best_effort: bool,
     /// Jobs with runs on probation here.
     pub(super) on_probation: BTreeSet<GraphId>,
-    /// Job of a suspected task on probation here: there is one at most.
+    /// Job of the suspected task on probation here; there is at most one.
     pub(super) suspect: Option<GraphId>,
-    /// Whether the machine has crashed lately.
+    /// Whether the machine has crashed recently.
     pub(super) crashed: bool,
 }
 
@@ -37,40 +37,41 @@
         crashed: bool,
         now: Instant,
     ) -> Self {
-        let new = || instance.runs.iter().filter(|(_, run)| run.probation.is_some());
-        let suspect = new().find(|(_, run)| run.suspected).map(|(task, _)| task.job.clone());
+        let on_probation = || instance.runs.iter().filter(|(_, run)| run.probation.is_some());
+        let suspect =
+            on_probation().find(|(_, run)| run.suspected).map(|(task, _)| task.job.clone());
         let best_effort = instance.runs.values().filter(|run| run.best_effort);
-        let wanted = best_effort.map(|run| run.reported_load).sum();
+        let best_effort_demand = best_effort.map(|run| run.reported_load).sum();
         Self {
             instance,
             health: instance.rank(now),
             free,
-            spare: instance.free(),
-            wanted,
+            free_with_reserved: instance.free(),
+            best_effort_demand,
             runs_latency_bound: instance.runs_latency_bound(),
             runs_best_effort: instance.runs_best_effort(),
-            on_probation: new().map(|(task, _)| task.job.clone()).collect(),
+            on_probation: on_probation().map(|(task, _)| task.job.clone()).collect(),
             suspect,
             crashed,
         }
     }
 
     /// Whether a suspected task of another job is on probation here.
-    pub(super) fn suspects_another(&self, job: &GraphId) -> bool {
+    pub(super) fn has_other_suspect(&self, job: &GraphId) -> bool {
         self.suspect.as_ref().is_some_and(|suspect| suspect != job)
     }
 
-    /// What would blur the cause of a crash under a task of a job, least first: nothing, a start of another job at
-    /// the same time, a machine that crashes by itself.
-    pub(super) fn blur(&self, job: &GraphId, suspected: bool) -> u32 {
-        let beside = self.on_probation.iter().any(|other| other != job);
+    /// How ambiguous the cause of a crash under a task of the job would be, least ambiguous first:
+    /// nothing else, a concurrent start of another job, a machine that crashes by itself.
+    pub(super) fn crash_ambiguity(&self, job: &GraphId, suspected: bool) -> u32 {
+        let others = self.on_probation.iter().any(|other| other != job);
         match suspected {
-            true => u32::from(beside) + 2 * u32::from(self.crashed),
-            false => u32::from(self.suspects_another(job)),
+            true => u32::from(others) + 2 * u32::from(self.crashed),
+            false => u32::from(self.has_other_suspect(job)),
         }
     }
 
-    /// A task of a job is started here.
+    /// Records the start of a task of a job.
     pub(super) fn note_start(&mut self, job: &GraphId, suspected: bool) {
         self.on_probation.insert(job.clone());
         if suspected {
--- a/src/graph/send_window.rs
+++ b/src/graph/send_window.rs
@@ -9,15 +9,15 @@
 use tokio::time::Instant;
 
 /// Starts at first: a job of the widest kind at once.
-const FIRST_LIMIT: f64 = 128.0;
+const INITIAL_LIMIT: f64 = 128.0;
 /// Fewest: a link that answers nothing is still tried with a few jobs.
-const LEAST_LIMIT: f64 = 16.0;
+const MIN_LIMIT: f64 = 16.0;
 /// Most: each has a connection, and an entry keeps 1,200 descriptors for these, for polls and for the store.
-const MOST_LIMIT: f64 = 512.0;
+const MAX_LIMIT: f64 = 512.0;
 /// An answer after this time is late: the link or the machine has a queue, and renewals wait in it as well.
 const LATE_ANSWER: Duration = Duration::from_millis(120);
 /// Share that is left of the window.
-const LEFT_SHARE: f64 = 0.5;
+const SHRINK_FACTOR: f64 = 0.5;
 /// Time after which it may shrink again: the answers to what was sent before say nothing new.
 const SHRINK_PAUSE: Duration = Duration::from_millis(250);
 
@@ -25,12 +25,12 @@
 #[derive(Clone, Debug)]
 pub struct SendWindow {
     limit: f64,
-    shrunk: Option<Instant>,
+    last_shrink: Option<Instant>,
 }
 
 impl Default for SendWindow {
     fn default() -> Self {
-        Self { limit: FIRST_LIMIT, shrunk: None }
+        Self { limit: INITIAL_LIMIT, last_shrink: None }
     }
 }
 
@@ -44,7 +44,7 @@
     pub fn answered(&mut self, now: Instant, took: Duration) {
         match took > LATE_ANSWER {
             true => self.shrink(now),
-            false => self.limit = (self.limit + 2.0 / self.limit.sqrt()).min(MOST_LIMIT),
+            false => self.limit = (self.limit + 2.0 / self.limit.sqrt()).min(MAX_LIMIT),
         }
     }
 
@@ -55,9 +55,9 @@
 
     fn shrink(&mut self, now: Instant) {
         let rested = |at: Instant| now.saturating_duration_since(at) >= SHRINK_PAUSE;
-        if self.shrunk.is_none_or(rested) {
-            self.shrunk = Some(now);
-            self.limit = (self.limit * LEFT_SHARE).max(LEAST_LIMIT);
+        if self.last_shrink.is_none_or(rested) {
+            self.last_shrink = Some(now);
+            self.limit = (self.limit * SHRINK_FACTOR).max(MIN_LIMIT);
         }
     }
 }
--- a/src/graph/spec.rs
+++ b/src/graph/spec.rs
@@ -10,21 +10,21 @@
 use crate::resources::ResourceVector;
 
 /// Steps in one graph.
-const MOST_STEPS: usize = 256;
+const MAX_STEPS: usize = 256;
 /// Tasks in one step.
-const MOST_TASKS: u32 = 10_000;
+const MAX_TASKS: u32 = 10_000;
 /// Longest run time or bound on one that a step may declare, a year: sums over a graph and their multiples
 /// stay far from what a `Duration` can hold.
-const LONGEST_TIME: Duration = Duration::from_secs(366 * 24 * 3_600);
+const MAX_TIME: Duration = Duration::from_secs(366 * 24 * 3_600);
 /// How long after its acceptance a job's last occurrence may be due, a century: a later one will not come.
-const LONGEST_SCHEDULE: Duration = Duration::from_secs(100 * 366 * 24 * 3_600);
+const MAX_SCHEDULE: Duration = Duration::from_secs(100 * 366 * 24 * 3_600);
 /// Bytes that notes of what succeeded may take in the store: half of its largest value, 1 MiB. The rest is
 /// for checkpoints and failed runs.
-const MOST_NOTE_BYTES: u64 = 512 << 10;
+const MAX_PROGRESS_BYTES: u64 = 512 << 10;
 /// Bytes of a task's note, four digits and a comma.
-const TASK_NOTE_BYTES: u64 = 5;
+const TASK_PROGRESS_BYTES: u64 = 5;
 /// Bytes of a step's note in an occurrence, beside its tasks: two numbers and what encloses them.
-const STEP_NOTE_BYTES: u64 = 24;
+const STEP_PROGRESS_BYTES: u64 = 24;
 
 /// A step: a number of equal tasks.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -130,8 +130,8 @@
         for index in (0..self.steps.len()).rev() {
             for before in &self.steps[index].after {
                 let longer = self.steps[*before as usize].estimate + critical_paths[index];
-                let chain = &mut critical_paths[*before as usize];
-                *chain = (*chain).max(longer);
+                let critical_path = &mut critical_paths[*before as usize];
+                *critical_path = (*critical_path).max(longer);
             }
         }
         critical_paths
@@ -140,21 +140,19 @@
     /// What is wrong with the graph, in words for the caller.
     pub fn mistakes(&self) -> Vec<String> {
         let mut found = Vec::new();
-        if self.steps.is_empty() || self.steps.len() > MOST_STEPS {
-            found.push(format!("{} steps: expected 1 to {MOST_STEPS}", self.steps.len()));
+        if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
+            found.push(format!("{} steps: expected 1 to {MAX_STEPS}", self.steps.len()));
         }
         for (index, step) in self.steps.iter().enumerate() {
-            if step.count == 0 || step.count > MOST_TASKS {
-                found.push(format!(
-                    "step {index}: {} tasks: expected 1 to {MOST_TASKS}",
-                    step.count
-                ));
+            if step.count == 0 || step.count > MAX_TASKS {
+                found
+                    .push(format!("step {index}: {} tasks: expected 1 to {MAX_TASKS}", step.count));
             }
             if step.after.iter().any(|before| *before as usize >= index) {
                 found.push(format!("step {index} waits for a step that is not before it"));
             }
-            if step.estimate.max(step.target.unwrap_or_default()) > LONGEST_TIME {
-                found.push(format!("step {index} has a time of over {LONGEST_TIME:?}"));
+            if step.estimate.max(step.target.unwrap_or_default()) > MAX_TIME {
+                found.push(format!("step {index} has a time of over {MAX_TIME:?}"));
             }
         }
         found.extend(self.repeat_mistakes());
@@ -166,13 +164,14 @@
     fn repeat_mistakes(&self) -> Vec<String> {
         let mut found = Vec::new();
         let last = self.due(self.occurrences().saturating_sub(1)).unwrap_or_default();
-        let latest = u64::try_from(LONGEST_SCHEDULE.as_millis()).unwrap_or(u64::MAX);
+        let latest = u64::try_from(MAX_SCHEDULE.as_millis()).unwrap_or(u64::MAX);
         if last.saturating_sub(self.accepted) > latest {
-            found.push(format!("the last occurrence is due after over {LONGEST_SCHEDULE:?}"));
+            found.push(format!("the last occurrence is due after over {MAX_SCHEDULE:?}"));
         }
-        let note = |step: &StepSpec| STEP_NOTE_BYTES + TASK_NOTE_BYTES * u64::from(step.count);
-        let notes: u64 = self.steps.iter().map(note).sum();
-        if notes.saturating_mul(self.occurrences().into()) > MOST_NOTE_BYTES {
+        let step_bytes =
+            |step: &StepSpec| STEP_PROGRESS_BYTES + TASK_PROGRESS_BYTES * u64::from(step.count);
+        let occurrence_bytes: u64 = self.steps.iter().map(step_bytes).sum();
+        if occurrence_bytes.saturating_mul(self.occurrences().into()) > MAX_PROGRESS_BYTES {
             found.push("too many tasks over all steps and occurrences".to_owned());
         }
         found
--- a/src/graph/step_capacity.rs
+++ b/src/graph/step_capacity.rs
@@ -13,20 +13,20 @@
 /// about these for ever and left 12 tasks waiting.
 pub(crate) struct StepCapacity {
     need: ResourceVector,
-    most: Option<u32>,
+    max_per_worker: Option<u32>,
     /// Tasks of the step that hold or were given room, by worker; empty without a limit.
     placed: BTreeMap<WorkerId, u32>,
 }
 
 impl StepCapacity {
     pub(crate) fn new(step: &StepSpec, placed: BTreeMap<WorkerId, u32>) -> Self {
-        Self { need: step.reservation(), most: step.max_per_worker, placed }
+        Self { need: step.reservation(), max_per_worker: step.max_per_worker, placed }
     }
 
     /// Tasks that the limit still allows on a worker.
     pub(crate) fn allows(&self, worker: &WorkerId) -> u32 {
         let placed = self.placed.get(worker).copied().unwrap_or(0);
-        self.most.map_or(u32::MAX, |most| most.saturating_sub(placed))
+        self.max_per_worker.map_or(u32::MAX, |max_per_worker| max_per_worker.saturating_sub(placed))
     }
 
     /// Tasks that fit in what is free on a worker now.
@@ -36,9 +36,9 @@
 }
 
 /// Number of tasks of a size that a room holds.
-pub(crate) fn tasks_that_fit(room: &ResourceVector, need: &ResourceVector) -> u32 {
-    let holds = |room: u32, need: u32| room.checked_div(need).unwrap_or(u32::MAX);
-    holds(room.millicores, need.millicores)
-        .min(holds(room.memory_mib, need.memory_mib))
-        .min(holds(room.accelerators, need.accelerators))
+pub(crate) fn tasks_that_fit(free: &ResourceVector, need: &ResourceVector) -> u32 {
+    let holds = |free: u32, need: u32| free.checked_div(need).unwrap_or(u32::MAX);
+    holds(free.millicores, need.millicores)
+        .min(holds(free.memory_mib, need.memory_mib))
+        .min(holds(free.accelerators, need.accelerators))
 }
