--- a/src/graph/advice.rs
+++ b/src/graph/advice.rs
@@ -1,8 +1,8 @@
-//! Placement advice: which workers a step may use, asked for as little as possible.
+//! Placement advice: which workers a step may use, requested with as few calls as possible.
 //!
-//! What is allowed for a step does not change while a worker lives, so answers are kept; tickets run
-//! out and are renewed. Each entry may have one call at a time, so calls are spread over all entries,
-//! and long calls leave some entries free for short ones.
+//! The set of workers allowed for a step does not change during a worker instance, so answers are
+//! kept; tickets expire and are renewed. Each entry can have one call at a time, so calls are
+//! spread over all entries, and long calls leave some entries free for short ones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,30 +17,31 @@
 /// Number of a call for advice.
 pub type AdviceId = u64;
 
-/// A call longer than this is long: urgent queues need a tenth of it.
+/// Calls that take longer than this are long; calls of urgent queues need a tenth of it.
 const LONG_CALL: Duration = Duration::from_millis(120);
-/// Entries that long calls leave free: one answers 35 urgent calls a second.
+/// Entries that long calls leave free: one entry makes 35 urgent calls a second.
 const RESERVED_ENTRIES: usize = 2;
-/// A ticket is not used in the last part of its life: a start may wait this long on its way.
+/// Time before its expiry from which a ticket is not used any more: a start may take this long to
+/// arrive.
 const TICKET_MARGIN: Duration = Duration::from_millis(150);
-/// Added to the expected time of a call before it counts as lost.
+/// Added to the expected time of a call to get its timeout.
 const CALL_SLACK: Duration = Duration::from_millis(900);
-/// Workers in one call.
+/// Limit of workers in one call.
 pub(crate) const MAX_WORKERS_PER_CALL: usize = 48;
-/// Share of workers taken to be allowed before any answer is known.
+/// Assumed share of allowed workers before any answer.
 const INITIAL_SHARE: f64 = 0.5;
 /// Weight of a new answer in the learned share.
 const SHARE_WEIGHT: f64 = 0.1;
-/// Smallest share that is reckoned with, so that no call asks for hundreds.
+/// Lower bound of the share in estimates, so that no call names hundreds of workers.
 const MIN_SHARE: f64 = 0.15;
 
-/// A step whose advice is asked for.
+/// Key of a step for which advice is requested.
 pub type AdviceKey = (GraphId, StepKey);
 
-/// What is known for one step.
+/// Advice on one step.
 #[derive(Clone, Debug, Default)]
 pub struct StepAdvice {
-    /// Allowed workers with a ticket and its end.
+    /// Allowed workers with their ticket and its expiry.
     pub allowed: BTreeMap<WorkerId, (TicketText, Instant)>,
     /// Workers that are not allowed.
     pub denied: BTreeSet<WorkerId>,
@@ -49,50 +50,50 @@
 }
 
 impl StepAdvice {
-    /// Workers whose tickets can still be used.
+    /// Workers with a usable ticket.
     pub fn tickets(&self, now: Instant) -> impl Iterator<Item = &WorkerId> {
         let usable =
             move |(_, (_, end)): &(&WorkerId, &(TicketText, Instant))| now + TICKET_MARGIN < *end;
         self.allowed.iter().filter(usable).map(|(worker, _)| worker)
     }
 
-    /// Whether the advisor has answered about a worker.
+    /// Whether the advisor has answered for a worker.
     fn has_answer_for(&self, worker: &WorkerId) -> bool {
         self.allowed.contains_key(worker) || self.denied.contains(worker)
     }
 
-    /// The ticket for a worker, if it can still be used.
+    /// The ticket for a worker, if it is usable.
     pub fn ticket(&self, worker: &WorkerId, now: Instant) -> Option<TicketText> {
         let (ticket, end) = self.allowed.get(worker)?;
         (now + TICKET_MARGIN < *end).then(|| ticket.clone())
     }
 }
 
-/// A call that should be made.
+/// A request for advice that has not been sent yet.
 #[derive(Clone, Debug)]
 pub struct AdviceRequest {
     /// The step.
     pub key: AdviceKey,
     /// Its queue.
     pub queue: QueueId,
-    /// Times of the service.
+    /// Expected times of a call.
     pub rule: AdviceRule,
     /// Workers to ask about.
     pub workers: Vec<WorkerId>,
 }
 
-/// A call that was made.
+/// A call for advice.
 #[derive(Clone, Debug)]
 pub struct AdviceCall {
     /// Number of the call.
     pub id: AdviceId,
-    /// Entry that makes it.
+    /// Entry through which it is sent.
     pub entry: EntryId,
     /// The step.
     pub key: AdviceKey,
-    /// Workers that are asked about.
+    /// Workers named in the call.
     pub workers: Vec<WorkerId>,
-    /// Longest time for the answer.
+    /// Timeout of the call.
     pub time: Duration,
 }
 
@@ -104,7 +105,7 @@
     sent: Instant,
 }
 
-/// All advice that a leader has and is waiting for.
+/// Advice that a leader has, and its open calls.
 #[derive(Debug, Default)]
 pub struct AdviceTable {
     steps: BTreeMap<AdviceKey, StepAdvice>,
@@ -115,12 +116,12 @@
 }
 
 impl AdviceTable {
-    /// Sets the entries that can make calls.
+    /// Sets the entries through which calls can be made.
     pub fn set_entries(&mut self, entries: BTreeSet<EntryId>) {
         self.entries = entries;
     }
 
-    /// What is known for a step.
+    /// Advice on a step.
     pub fn step(&self, key: &AdviceKey) -> Option<&StepAdvice> {
         self.steps.get(key)
     }
@@ -132,12 +133,13 @@
         })
     }
 
-    /// Learned share of workers that a queue's steps are allowed.
+    /// Learned share of workers that are allowed for steps of a queue.
     pub fn share(&self, queue: &QueueId) -> f64 {
         self.shares.get(queue).copied().unwrap_or(INITIAL_SHARE).max(MIN_SHARE)
     }
 
-    /// Makes as many calls as there are entries without one; wishes come in order of urgency.
+    /// Opens calls for as many requests as there are idle entries. The requests are ordered by
+    /// urgency.
     pub fn assign(&mut self, now: Instant, advice_requests: Vec<AdviceRequest>) -> Vec<AdviceCall> {
         let busy: BTreeSet<&EntryId> = self.calls.values().map(|open| &open.call.entry).collect();
         let idle = self.entries.iter().filter(|entry| !busy.contains(entry));
@@ -174,7 +176,7 @@
         call
     }
 
-    /// Takes in an answer; `None` where there was none. Tells which step it was for.
+    /// Handles the answer to a call, `None` if there was none. Returns the step of the call.
     pub fn answered(
         &mut self,
         now: Instant,
@@ -190,8 +192,8 @@
             step.retry_at = Some(now + retry_delay);
             return Some(key);
         };
-        // Renewals say nothing of workers that were not asked about: counted as answers they taught a share of
-        // 0.97 where a third is allowed.
+        // Only workers without an earlier answer count in the learned share: with renewals it rose
+        // to 0.97 where a third of the workers is allowed.
         let new: BTreeSet<WorkerId> = open
             .call
             .workers
@@ -200,7 +202,8 @@
             .cloned()
             .collect();
         let (sent, valid) = (open.sent, open.rule.valid);
-        // A ticket's life may begin before its answer is sent: it is counted from the call.
+        // A ticket may become valid before its answer is sent, so its expiry is counted from the
+        // call.
         let end = sent + valid;
         for worker in open.call.workers {
             step.denied.insert(worker);
@@ -218,8 +221,8 @@
         Some(key)
     }
 
-    /// Drops a ticket that a worker refused.
-    pub fn refused(&mut self, key: &AdviceKey, worker: &WorkerId, now: Instant) {
+    /// Expires a ticket that a worker refused.
+    pub fn expire_ticket(&mut self, key: &AdviceKey, worker: &WorkerId, now: Instant) {
         if let Some((_, end)) =
             self.steps.get_mut(key).and_then(|step| step.allowed.get_mut(worker))
         {
@@ -227,7 +230,8 @@
         }
     }
 
-    /// Forgets a worker: another life of it may be allowed other steps, and takes no ticket of the one before.
+    /// Removes all advice on a worker: its next instance may be allowed other steps and does not
+    /// accept tickets of the previous one.
     pub fn forget_worker(&mut self, worker: &WorkerId) {
         for step in self.steps.values_mut() {
             step.allowed.remove(worker);
@@ -235,17 +239,17 @@
         }
     }
 
-    /// Forgets all steps of a job.
+    /// Removes all steps of a job.
     pub fn forget(&mut self, job: &GraphId) {
         self.steps.retain(|(id, _), _| id != job);
     }
 
-    /// Number of entries that could make a call.
-    pub fn idle(&self) -> usize {
+    /// Number of entries without an open call.
+    pub fn idle_entries(&self) -> usize {
         self.entries.len().saturating_sub(self.calls.len())
     }
 
-    /// Number of calls that wait for an answer.
+    /// Number of open calls.
     pub fn waiting(&self) -> usize {
         self.calls.len()
     }
--- a/src/graph/changes.rs
+++ b/src/graph/changes.rs
@@ -4,17 +4,18 @@
 
 use crate::graph::name::GraphId;
 
-/// Place among changes that wait: those that somebody waits for first, then the oldest.
+/// Position of a waiting change: changes that a caller waits for first, then the oldest.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct ChangeOrder {
     later: bool,
     number: u64,
 }
 
-/// Changes that wait for a group.
+/// Changes that wait for a commit group.
 ///
-/// Load it answers: a store that takes 240 ms a group of 28, and more ends of tasks than that. In the order
-/// of names, jobs with late names were not shown as completed for as long as the load lasted.
+/// The order matters with a store that takes 240 ms per group of 28 and more ends of tasks than
+/// that. In the order of names, jobs with late names were not shown as completed as long as the
+/// load lasted.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeQueue {
     jobs: BTreeMap<GraphId, ChangeOrder>,
@@ -23,7 +24,8 @@
 }
 
 impl ChangeQueue {
-    /// A job has changed; `urgent` where somebody waits for it. One that waits already keeps its place.
+    /// Adds a changed job; `urgent` if a caller waits for it. A job that already waits keeps its
+    /// position.
     pub(crate) fn insert(&mut self, job: GraphId, urgent: bool) {
         let known = self.jobs.get(&job).copied();
         if known.is_some_and(|known| !known.later || !urgent) {
@@ -38,12 +40,12 @@
         self.jobs.insert(job, order);
     }
 
-    /// Whether none waits.
+    /// Whether there are no changes.
     pub(crate) fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Takes at most a number of them.
+    /// Removes and returns at most `limit` jobs.
     pub(crate) fn take(&mut self, limit: usize) -> Vec<GraphId> {
         let mut taken = Vec::new();
         while taken.len() < limit
--- a/src/graph/commit.rs
+++ b/src/graph/commit.rs
@@ -100,7 +100,7 @@
     /// Records that a notice to this shard has been handled.
     pub(crate) fn settle_notice(&mut self, job: GraphId, kind: NoticeKind, now: Instant) {
         self.notices.settle(job, kind);
-        self.touch(now, false);
+        self.schedule(now, false);
     }
 
     /// Adds a submitted job.
@@ -112,40 +112,40 @@
     /// Adds a job with new progress; `urgent` if a caller waits for it.
     pub fn change(&mut self, job: GraphId, now: Instant, urgent: bool) {
         self.changed.insert(job, urgent);
-        self.touch(now, urgent);
+        self.schedule(now, urgent);
     }
 
     /// Adds a job to remove.
     pub fn remove(&mut self, job: GraphId, now: Instant) {
         self.removed.insert(job);
-        self.touch(now, false);
+        self.schedule(now, false);
     }
 
     /// Records that the set of workers that may have runs has changed.
     pub fn note_workers(&mut self, now: Instant, urgent: bool) {
         self.workers = true;
-        self.touch(now, urgent);
+        self.schedule(now, urgent);
     }
 
     /// Makes a group due although no job has changed, so that ends can be acknowledged.
-    pub fn touch(&mut self, now: Instant, urgent: bool) {
+    pub fn schedule(&mut self, now: Instant, urgent: bool) {
         self.urgent |= urgent;
         self.gathering_since.get_or_insert(now);
     }
 
     /// Whether a job's submission may have reached the store.
-    pub fn sent(&self, job: &GraphId) -> bool {
+    pub fn may_be_stored(&self, job: &GraphId) -> bool {
         !self.added.contains(job)
     }
 
     /// Submitted jobs that are not in a group yet.
-    pub(crate) fn waiting(&self) -> impl Iterator<Item = &GraphId> {
+    pub(crate) fn waiting_additions(&self) -> impl Iterator<Item = &GraphId> {
         self.added.iter()
     }
 
     /// Removes and returns submitted jobs that are not in a group yet and for which `given_up`
     /// returns true.
-    pub(crate) fn take_added(
+    pub(crate) fn remove_added(
         &mut self,
         mut given_up: impl FnMut(&GraphId) -> bool,
     ) -> BTreeSet<GraphId> {
@@ -154,7 +154,11 @@
 
     /// Handles a group that the store has certainly not applied: everything in it except new jobs
     /// is due again.
-    pub(crate) fn refused(&mut self, number: GroupNumber, now: Instant) -> Option<CommitGroup> {
+    pub(crate) fn take_refused(
+        &mut self,
+        number: GroupNumber,
+        now: Instant,
+    ) -> Option<CommitGroup> {
         let (group, _) = self.in_flight.take_if(|(group, _)| group.number == number)?;
         for (id, progress) in &group.progress {
             self.changed.insert(id.clone(), progress.verdict.is_some());
@@ -242,13 +246,13 @@
     }
 
     /// Records that a group was sent.
-    pub fn opened(&mut self, group: CommitGroup, effect: GroupEffect, now: Instant) {
+    pub fn note_sent(&mut self, group: CommitGroup, effect: GroupEffect, now: Instant) {
         self.sent = Some(now);
         self.in_flight = Some((group, effect));
     }
 
     /// Removes and returns the group in flight once it is stored.
-    pub fn stored(&mut self, number: GroupNumber) -> Option<(CommitGroup, GroupEffect)> {
+    pub fn take_stored(&mut self, number: GroupNumber) -> Option<(CommitGroup, GroupEffect)> {
         self.refused_since = None;
         self.in_flight.take_if(|(group, _)| group.number == number)
     }
--- a/src/graph/controller.rs
+++ b/src/graph/controller.rs
@@ -352,7 +352,7 @@
         self.resend(now, extend);
     }
 
-    /// Starts the work of workers that never answered again, once no inherited run can still go on.
+    /// Restarts the work of workers that never answered, once no inherited run can still go on.
     fn invalidate_unseen_runs(&mut self, now: Instant) {
         if self.unseen_invalidated || now < self.inherited_leases_end {
             return;
@@ -360,7 +360,7 @@
         self.unseen_invalidated = true;
         let unsettled_domains = self.uncontacted_domains();
         let first = self.run_base() + 1;
-        for job in self.jobs.invalidate_unseen_runs(first, |job| unsettled_domains.holds(job)) {
+        for job in self.jobs.invalidate_unseen_runs(first, |job| unsettled_domains.affects(job)) {
             self.commits.change(job, now, true);
         }
     }
@@ -376,7 +376,7 @@
         if self.commits.is_due(now) || !self.crashes.is_empty() {
             return now;
         }
-        let waiting = self.commits.waiting().filter_map(|id| self.jobs.get(id));
+        let waiting = self.commits.waiting_additions().filter_map(|id| self.jobs.get(id));
         due = waiting
             .map(|job| job.submit_deadline)
             .min()
@@ -442,7 +442,7 @@
             lost_before_contact: self.lost_before_contact,
         };
         let plan = PlacementPass::new(view).run();
-        for id in &plan.settled {
+        for id in &plan.idle_jobs {
             self.jobs.mark_unschedulable(id);
         }
         for start in &plan.starts {
--- a/src/graph/controller/commands.rs
+++ b/src/graph/controller/commands.rs
@@ -211,7 +211,7 @@
                 return;
             }
             CallFailure::Refused(WorkerRefusal::Ticket) => {
-                self.advice.refused(&(task.job.clone(), task.key.step), worker, now);
+                self.advice.expire_ticket(&(task.job.clone(), task.key.step), worker, now);
             }
             // The known capacity of the worker is wrong. Without an exclusion it was chosen again
             // at once and refused a hundred starts a second.
@@ -281,7 +281,7 @@
         let name = TaskName::new(job, task);
         info!(task:% = name, worker = &*worker, victims = victims.len(); "runs preempted for a task");
         metrics::counter!("kelplink_preempted_runs_total").increment(victims.len() as u64);
-        self.reservations.keep(now, name, worker.clone(), need);
+        self.reservations.reserve(now, name, worker.clone(), need);
         for victim in victims {
             let run = self.instances.get(&worker).and_then(|instance| instance.runs.get(&victim));
             if let Some(run) = run.map(|run| run.run) {
--- a/src/graph/controller/shares.rs
+++ b/src/graph/controller/shares.rs
@@ -85,18 +85,19 @@
         let rule = &record.rule;
         let share = rule.advice.map_or(1.0, |_| self.advice.share(&rule.id));
         let part = rule.advice.map_or(1.0, |_| GANG_CAPACITY_FRACTION);
-        let holds = |step: &StepSpec| {
-            let most = step.max_per_worker.unwrap_or(u32::MAX);
+        let gang_capacity = |step: &StepSpec| {
+            let limit = step.max_per_worker.unwrap_or(u32::MAX);
             let fitting = self.instances.iter().filter(|instance| instance.counts(now));
             let fitting = fitting.filter(|instance| can_run_on(step, rule, &instance.registration));
-            let room = |instance: &WorkerInstance| {
+            let tasks = |instance: &WorkerInstance| {
                 tasks_that_fit(&self.capacity_beside_lasting(instance), &step.reservation())
-                    .min(most)
+                    .min(limit)
             };
-            fitting.map(|instance| f64::from(room(instance))).sum::<f64>() * share * part
+            fitting.map(|instance| f64::from(tasks(instance))).sum::<f64>() * share * part
         };
         let mut gangs = record.spec.steps.iter().filter(|step| step.gang);
-        self.scope.plan.is_divided() && gangs.any(|step| f64::from(step.count) > holds(step))
+        self.scope.plan.is_divided()
+            && gangs.any(|step| f64::from(step.count) > gang_capacity(step))
     }
 
     /// Capacity of a worker less what its lasting tasks reserve.
@@ -106,8 +107,9 @@
             step.is_some_and(|step| step.lasting)
         };
         let lasting = instance.runs.iter().filter(|(task, _)| lasts(task));
-        lasting
-            .fold(instance.registration.capacity, |room, (_, run)| room.saturating_sub(&run.need))
+        lasting.fold(instance.registration.capacity, |capacity, (_, run)| {
+            capacity.saturating_sub(&run.need)
+        })
     }
 
     /// Registrations of the workers of this shard that count in decisions on where a job runs.
--- a/src/graph/controller/storing.rs
+++ b/src/graph/controller/storing.rs
@@ -33,7 +33,7 @@
             && group.settled.is_empty()
             && group.workers.is_none();
         let number = group.number;
-        self.commits.opened(group.clone(), effect, now);
+        self.commits.note_sent(group.clone(), effect, now);
         match empty {
             true => self.handle_group_stored(now, number),
             false => self.actions.push(GraphAction::Commit(group)),
@@ -93,7 +93,7 @@
         number: GroupNumber,
         accepted_elsewhere: &[GraphId],
     ) {
-        let Some((group, effect)) = self.commits.stored(number) else {
+        let Some((group, effect)) = self.commits.take_stored(number) else {
             warn!(number; "stored group was not in flight");
             return;
         };
--- a/src/graph/controller/submissions.rs
+++ b/src/graph/controller/submissions.rs
@@ -207,7 +207,7 @@
     pub(super) fn reject_overdue(&mut self, now: Instant) {
         let jobs = &self.jobs;
         let is_overdue = |id: &GraphId| jobs.get(id).is_none_or(|job| job.submit_deadline <= now);
-        for id in self.commits.take_added(is_overdue) {
+        for id in self.commits.remove_added(is_overdue) {
             self.reject_job(now, &id);
         }
     }
@@ -223,7 +223,7 @@
 
     /// Handles a group that the store has certainly not applied.
     pub fn handle_group_refused(&mut self, now: Instant, number: GroupNumber) {
-        let Some(group) = self.commits.refused(number, now) else {
+        let Some(group) = self.commits.take_refused(number, now) else {
             return;
         };
         for record in group.added {
@@ -266,8 +266,8 @@
         }
         let waiting = std::mem::take(&mut self.waiters);
         for (id, calls) in waiting {
-            let not_stored =
-                self.jobs.get(&id).is_some_and(|job| !job.durable) && !self.commits.sent(&id);
+            let not_stored = self.jobs.get(&id).is_some_and(|job| !job.durable)
+                && !self.commits.may_be_stored(&id);
             if !not_stored {
                 continue;
             }
--- a/src/graph/controller/worker_events.rs
+++ b/src/graph/controller/worker_events.rs
@@ -121,7 +121,7 @@
         let EndReport { number, task, run, kind, .. } = &end;
         info!(task:% = task, run, worker = &**worker, end:? = kind, number; "run ended");
         metrics::counter!("kelplink_run_ends_total", "kind" => format!("{kind:?}")).increment(1);
-        self.commits.touch(now, false);
+        self.commits.schedule(now, false);
         let effect = self.jobs.run_ended(now, unix, worker, &end);
         if effect.superseded
             && let Some(instance) = self.instances.get_mut(worker)
--- a/src/graph/event.rs
+++ b/src/graph/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the decisions of a leader and what comes out.
+//! Inputs and outputs of a leader's decisions.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,25 +11,25 @@
 use crate::graph::shard::ShardId;
 use crate::id::{CallId, WorkerId};
 
-/// How a worker answered a start, stop or throttle: with its clock, or not at all.
+/// Result of a start, stop or throttle: the clock of the worker, or why there is no answer.
 pub type CommandResult = std::result::Result<Duration, CallFailure>;
-/// How a worker answered a poll.
+/// Result of a poll.
 pub type PollResult = std::result::Result<PollReply, CallFailure>;
 
-/// A call that the leader wants made, or an answer that it gives.
+/// A call for the process to make, or an answer to a caller.
 #[derive(Clone, Debug)]
 pub enum GraphAction {
-    /// Look at a worker, renew its lease and acknowledge ends.
+    /// Poll a worker, renew its lease and acknowledge ends.
     Poll {
         /// The worker.
         worker: WorkerId,
-        /// Where it answers.
+        /// Address of the worker.
         address: SocketAddr,
         /// End of its lease on its clock; `None` to leave the lease as it is.
         until: Option<Duration>,
-        /// Ends up to this number are stored.
+        /// Ends up to this number are stored and acknowledged.
         acked: u64,
-        /// Longest time that the worker may wait for an end.
+        /// Longest time that the worker may hold the poll until a run ends.
         wait: Duration,
     },
     /// Start a run.
@@ -38,29 +38,29 @@
     Stop {
         /// The worker.
         worker: WorkerId,
-        /// Start of its life that was heard last.
+        /// Start of the last known instance of the worker.
         instance_start: InstanceStart,
-        /// Where it answers.
+        /// Address of the worker.
         address: SocketAddr,
         /// The task.
         task: TaskName,
-        /// Number of the start.
+        /// Number of the run.
         run: RunNumber,
     },
-    /// Let a run work at a share of its speed.
+    /// Limit a run to a part of its speed.
     Throttle {
         /// The worker.
         worker: WorkerId,
-        /// Where it answers.
+        /// Address of the worker.
         address: SocketAddr,
         /// The task.
         task: TaskName,
-        /// Number of the start.
+        /// Number of the run.
         run: RunNumber,
-        /// The share.
+        /// The part in percent.
         percent: u32,
     },
-    /// Ask for placement advice through an entry.
+    /// Request placement advice through an entry.
     Advise(AdviceCall),
     /// Store a group of changes.
     Commit(CommitGroup),
@@ -68,42 +68,42 @@
     Answer(CallId, GraphAnswer),
 }
 
-/// A start of a run.
+/// Command to start a run.
 #[derive(Clone, Debug)]
 pub struct StartCommand {
     /// The worker.
     pub worker: WorkerId,
-    /// Start of its life that was heard last.
+    /// Start of the last known instance of the worker.
     pub instance_start: InstanceStart,
-    /// Where it answers.
+    /// Address of the worker.
     pub address: SocketAddr,
     /// The task.
     pub task: TaskName,
-    /// Number of the start.
+    /// Number of the run.
     pub run: RunNumber,
-    /// What the caller wants run.
+    /// Payload from the job.
     pub payload: Arc<str>,
     /// End of the worker's lease on its clock.
     pub until: Duration,
-    /// Checkpoint to go on from; empty where there is none.
+    /// Checkpoint to resume from; empty if there is none.
     pub checkpoint: String,
-    /// Ticket, where the queue needs advice.
+    /// Ticket, if the queue needs advice.
     pub ticket: Option<TicketText>,
 }
 
-/// Answer to a caller that had to wait for it.
+/// Answer to a waiting call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum GraphAnswer {
     /// The job is stored.
     Accepted,
-    /// The job was not taken and never runs; when to come back.
+    /// The job is rejected and never runs; the caller may retry after the given time.
     Rejected(Duration),
-    /// The job was not taken: the leader of this shard should have it.
+    /// The job was not accepted; the leader of this shard should run it.
     Elsewhere(ShardId),
-    /// The job was not taken: this leader cannot tell yet where it should run.
+    /// The job was not accepted: it is still undetermined which shard should run it.
     Unready,
-    /// The job is cancelled, and that is stored.
+    /// The job is cancelled and the cancellation is stored.
     Cancelled,
-    /// No such job, or it has ended.
+    /// There is no such job, or it has ended.
     Gone,
 }
--- a/src/graph/home.rs
+++ b/src/graph/home.rs
@@ -1,10 +1,10 @@
-//! In which failure domain a job runs.
+//! Home domains: the failure domain in which a job runs.
 //!
-//! Load it answers: urgent jobs of ten tasks while a failure domain is cut off. Spread over three
-//! domains, nearly every job has a task behind the cut and waits for its lease; kept in one, two thirds
-//! of the jobs never notice. A leader that takes over lets a job go on as soon as the workers of its
-//! domains are heard: the home is stored with the job, and another domain is used only once the store
-//! has it too.
+//! This limits the effect of a failure domain that is cut off on urgent jobs of ten tasks. Spread
+//! over three domains, nearly every job has a task behind the cut and waits for the lease of its
+//! worker to expire; with each job in one domain, two thirds of the jobs are not affected. A new
+//! leader continues a job as soon as the workers of its domains have answered: the home is stored
+//! with the job, and another domain is used only once it is stored as well.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,11 +19,11 @@
 use crate::graph::step_capacity::tasks_that_fit;
 use crate::id::DomainId;
 
-/// Longest objective of a job that has a home: what may take longer outlives a cut of a domain, which
-/// lasts 5 to 7 s on our users' deployments, and is better placed where there is room.
+/// Longest objective of a job with a home. A job with a longer one can outlast a cut of a domain,
+/// which takes 5 to 7 s on our users' deployments, and is better placed where there is capacity.
 const MAX_HOME_OBJECTIVE: Duration = Duration::from_secs(10);
 
-/// The failure domain with most room for a new job; `None` for one that may run anywhere.
+/// The failure domain with the most capacity for a new job; `None` for a job that may run anywhere.
 pub(crate) fn choose_home(
     instances: &InstanceTable,
     job: &GraphJob,
@@ -46,7 +46,7 @@
     tasks_by_domain.into_iter().max_by_key(|(_, tasks)| *tasks).map(|(domain, _)| domain.clone())
 }
 
-/// Whether a worker can run tasks of a step while it is empty, whatever advice says.
+/// Whether an empty worker could run tasks of a step, regardless of advice.
 pub(crate) fn can_run_on(
     step: &StepSpec,
     rule: &QueueRule,
@@ -58,18 +58,20 @@
         && step.reservation().fits(&registration.capacity)
 }
 
-/// Failure domains in which an earlier leader's runs may still go on unseen.
+/// Failure domains in which runs of an earlier leader may go on although their workers have not
+/// answered.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct UnsettledDomains {
-    /// Those that are known.
+    /// The known domains.
     pub domains: BTreeSet<DomainId>,
-    /// Whether there are workers whose domain is not known.
+    /// Whether there are such workers with an unknown domain.
     pub unknown: bool,
 }
 
 impl UnsettledDomains {
-    /// Whether a task of a job may run there, so that it must not be started again.
-    pub(crate) fn holds(&self, job: &GraphJob) -> bool {
+    /// Whether a task of a job may still run in these domains, so that it must not be started
+    /// again.
+    pub(crate) fn affects(&self, job: &GraphJob) -> bool {
         job.inherited && (self.unknown || self.domains.iter().any(|domain| job.may_use(domain)))
     }
 }
--- a/src/graph/name.rs
+++ b/src/graph/name.rs
@@ -1,4 +1,4 @@
-//! Names of jobs, steps and tasks of job graphs.
+//! Identifiers of jobs, steps and tasks of job graphs.
 
 use std::fmt::{self, Display};
 use std::str::FromStr;
@@ -8,17 +8,18 @@
 pub type GraphId = Arc<str>;
 /// Name of a queue of jobs.
 pub type QueueId = Arc<str>;
-/// Name of what a task runs.
+/// Name of the image that a task runs.
 pub type ImageId = Arc<str>;
-/// Name of a machine; it stays when the worker on it is restarted.
+/// Name of a machine; unchanged when the worker on it restarts.
 pub type MachineId = Arc<str>;
 /// Number of a step in its graph.
 pub type StepIndex = u32;
-/// Number of a start of a task; it rises with each.
+/// Number of a run of a task; increases with each start.
 pub type RunNumber = u64;
-/// One request of a caller; a repeated try of an entry to hand it on has the same.
+/// Identifies a request of a caller; retries by an entry keep the number.
 pub type AttemptId = u64;
-/// Orders leaders; workers refuse a lower one than the highest they have seen.
+/// Order of leaders: workers refuse commands with a lower epoch than the highest that they have
+/// seen.
 pub type LeaderEpoch = u64;
 
 /// A step in one occurrence of its graph.
@@ -40,13 +41,13 @@
 }
 
 impl TaskKey {
-    /// Makes a key from the numbers of occurrence, step and task.
+    /// Creates a key from the numbers of occurrence, step and task.
     pub const fn new(occurrence: u32, step: StepIndex, index: u32) -> Self {
         Self { step: StepKey { occurrence, step }, index }
     }
 }
 
-/// A task with the job it belongs to; written `job.occurrence.step.index`.
+/// A task and its job; displayed as `job.occurrence.step.index`.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct TaskName {
     /// The job.
@@ -56,7 +57,7 @@
 }
 
 impl TaskName {
-    /// Names a task of a job.
+    /// Creates the name of a task of a job.
     pub fn new(job: GraphId, key: TaskKey) -> Self {
         Self { job, key }
     }
@@ -69,7 +70,7 @@
     }
 }
 
-/// A text that does not name a task.
+/// Error for a text that is not a task name.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TaskNameError;
 
--- a/src/graph/placer.rs
+++ b/src/graph/placer.rs
@@ -70,13 +70,13 @@
     /// Jobs that should use an additional failure domain.
     pub widened: Vec<(GraphId, DomainId)>,
     /// Jobs without waiting tasks.
-    pub settled: Vec<GraphId>,
+    pub idle_jobs: Vec<GraphId>,
 }
 
 /// Order in which steps are served.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct ServingOrder {
-    cannot_fit: bool,
+    value_expired: bool,
     priority: u32,
     latest_start: Instant,
     late: bool,
@@ -138,14 +138,15 @@
         let instances =
             view.instances.iter().filter(|instance| instance.accepts_work(view.now, SILENCE_LIMIT));
         let capacity = |instance: &'t WorkerInstance| {
-            let free = instance.free().saturating_sub(&view.reservations.on(instance.id()));
+            let free =
+                instance.free().saturating_sub(&view.reservations.reserved_on(instance.id()));
             let crashed = view.instances.crashed_lately(view.now, instance);
             (instance.id().clone(), WorkerCapacity::new(instance, free, crashed, view.now))
         };
         let mut capacities: BTreeMap<WorkerId, WorkerCapacity<'t>> =
             instances.map(capacity).collect();
         exclude_faulty(&mut capacities);
-        let requests_left = view.advice.idle() * REQUESTS_PER_CALL;
+        let requests_left = view.advice.idle_entries() * REQUESTS_PER_CALL;
         let starts_left = view.max_unanswered.saturating_sub(unanswered_starts(&capacities));
         Self {
             view,
@@ -162,12 +163,12 @@
     pub fn run(mut self) -> PassPlan {
         let mut steps = Vec::new();
         for job in
-            self.view.jobs.schedulable().filter(|job| !self.view.unsettled_domains.holds(job))
+            self.view.jobs.schedulable().filter(|job| !self.view.unsettled_domains.affects(job))
         {
             let before = steps.len();
             self.open_steps(job, &mut steps);
             if steps.len() == before && job.spec.repeat.is_none() {
-                self.plan.settled.push(job.spec.id.clone());
+                self.plan.idle_jobs.push(job.spec.id.clone());
             }
         }
         steps.sort_by(|a, b| {
@@ -223,14 +224,15 @@
         let critical_path = job.critical_paths.get(key.step as usize).copied().unwrap_or_default();
         let objective = job.objective();
         let late = !step.lasting && elapsed + critical_path > objective;
-        let cannot_fit = !step.lasting && elapsed + critical_path > objective * VALUE_EXPIRY_FACTOR;
+        let value_expired =
+            !step.lasting && elapsed + critical_path > objective * VALUE_EXPIRY_FACTOR;
         // Late jobs are not served after all jobs in time: a backlog would wait until load falls
         // and lose the value that it still has.
         let loses_at = if late { objective * VALUE_EXPIRY_FACTOR } else { objective };
         let latest = (self.view.now + loses_at)
             .checked_sub(elapsed + critical_path)
             .unwrap_or(self.view.now);
-        ServingOrder { cannot_fit, priority: job.rule.priority, latest_start: latest, late }
+        ServingOrder { value_expired, priority: job.rule.priority, latest_start: latest, late }
     }
 
     fn place_step(&mut self, step: &OpenStep<'t>) {
@@ -297,7 +299,7 @@
             let usable = registration.service == job.rule.service
                 && capacity.instance.has_label(step.step)
                 && !advice.is_some_and(|advice| advice.denied.contains(id));
-            let tasks = step_capacity.holds(id, &capacity.free);
+            let tasks = step_capacity.fitting_tasks(id, &capacity.free);
             match usable {
                 true if job.may_use(&registration.domain) => here += tasks,
                 true => *elsewhere.entry(&registration.domain).or_default() += tasks,
--- a/src/graph/placer/advice_requests.rs
+++ b/src/graph/placer/advice_requests.rs
@@ -156,13 +156,13 @@
                 && step.job.may_use(&capacity.instance.registration.domain)
                 && capacity.instance.has_label(step.step)
                 && need.fits(&capacity.instance.registration.capacity)
-                && step_capacity.allows(capacity.instance.id()) > 0
+                && step_capacity.remaining(capacity.instance.id()) > 0
                 && !advice.is_some_and(|advice| advice.denied.contains(capacity.instance.id()))
         });
         let renewal = self.view.now + rule.call + rule.each * RENEWED_WORKERS;
         let mut candidates = AdviceCandidates::default();
         for capacity in fitting {
-            let fitting_tasks = step_capacity.holds(capacity.instance.id(), &capacity.free);
+            let fitting_tasks = step_capacity.fitting_tasks(capacity.instance.id(), &capacity.free);
             match advice.filter(|advice| advice.allowed.contains_key(capacity.instance.id())) {
                 Some(advice) if advice.ticket(capacity.instance.id(), renewal).is_some() => {
                     candidates.ticketed_tasks += fitting_tasks;
--- a/src/graph/placer/tasks.rs
+++ b/src/graph/placer/tasks.rs
@@ -103,7 +103,7 @@
     /// Whether a step would lose value that its job can still have by waiting longer.
     pub(super) fn would_lose_value(&self, step: &OpenStep<'t>) -> bool {
         let start_is_due = step.order.latest_start <= self.view.now + PREEMPTION_LEAD;
-        start_is_due && (step.step.lasting || !step.order.cannot_fit)
+        start_is_due && (step.step.lasting || !step.order.value_expired)
     }
 
     /// Whether preemption on a worker can free enough capacity for a task of a step.
--- a/src/graph/preemption.rs
+++ b/src/graph/preemption.rs
@@ -58,7 +58,13 @@
 
 impl ReservationTable {
     /// Reserves capacity for a task.
-    pub fn keep(&mut self, now: Instant, task: TaskName, worker: WorkerId, need: ResourceVector) {
+    pub fn reserve(
+        &mut self,
+        now: Instant,
+        task: TaskName,
+        worker: WorkerId,
+        need: ResourceVector,
+    ) {
         self.reservations
             .insert(task, CapacityReservation { worker, need, expires_at: now + RESERVATION_TIME });
     }
@@ -69,7 +75,7 @@
     }
 
     /// Total capacity reserved on a worker.
-    pub fn on(&self, worker: &WorkerId) -> ResourceVector {
+    pub fn reserved_on(&self, worker: &WorkerId) -> ResourceVector {
         let here = self.reservations.values().filter(|reservation| reservation.worker == *worker);
         here.fold(ResourceVector::default(), |sum, reservation| {
             sum.saturating_add(&reservation.need)
--- a/src/graph/queue.rs
+++ b/src/graph/queue.rs
@@ -1,4 +1,4 @@
-//! The configuration of queues that is in force.
+//! Configuration of queues, services and request limits.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,15 +9,15 @@
 use crate::graph::name::QueueId;
 use crate::id::{Revision, ServiceId};
 
-/// Time that a call for placement advice takes.
+/// Expected times of a call for placement advice.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct AdviceRule {
-    /// For a call.
+    /// Fixed time of a call.
     pub call: Duration,
-    /// For each worker named in it.
+    /// Additional time for each worker named in the call.
     pub each: Duration,
-    /// How long a ticket holds.
+    /// How long a ticket is valid.
     pub valid: Duration,
 }
 
@@ -27,43 +27,43 @@
 pub struct QueueRule {
     /// Name of the queue.
     pub id: QueueId,
-    /// Host that callers name; empty for any.
+    /// Host name in requests; empty for any.
     pub host: Arc<str>,
-    /// Start of the paths that belong to it.
+    /// Prefix of the request paths that belong to the queue.
     pub prefix: Arc<str>,
-    /// Workers that run its tasks.
+    /// Service whose workers run the tasks.
     pub service: ServiceId,
-    /// 0 comes first.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
     /// Failed runs after which a job has failed.
     pub max_attempts: u32,
-    /// Share of the longest chain of run times that a job's objective allows.
+    /// Factor of the critical path in the objective of a job.
     pub slack: f64,
-    /// Time that the objective allows beside the chain.
+    /// Time that the objective allows in addition to the critical path.
     pub target: Duration,
-    /// Placement advice, where the queue needs it.
+    /// Expected times of placement advice, if the queue needs advice.
     pub advice: Option<AdviceRule>,
 }
 
 /// A service: the pool of workers that tasks run on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PoolRule {
-    /// Whether its workers refuse what does not fit.
+    /// Whether its workers refuse tasks that exceed their capacity.
     pub enforces_capacity: bool,
     /// Whether its workers are switched off.
     pub standby: bool,
 }
 
-/// Bounds on requests of callers.
+/// Limits of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestLimits {
-    /// Bytes of a body.
+    /// Largest body in bytes.
     pub body_bytes: usize,
-    /// Time for the head of a request to arrive.
+    /// Longest time for the head of a request to arrive.
     pub head_time: Duration,
 }
 
-/// A whole configuration.
+/// A version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueueConfig {
     /// Its version.
@@ -72,18 +72,19 @@
     pub queues: BTreeMap<QueueId, Arc<QueueRule>>,
     /// All services.
     pub pools: BTreeMap<ServiceId, PoolRule>,
-    /// Bounds on requests.
+    /// Limits of requests.
     pub limits: RequestLimits,
 }
 
 impl QueueConfig {
-    /// Whether it names a service.
+    /// Whether the configuration refers to a service.
     pub fn names(&self, service: &ServiceId) -> bool {
         self.pools.contains_key(service)
             || self.queues.values().any(|queue| queue.service == *service)
     }
 
-    /// The queue that a request belongs to: the longest prefix among those of its host.
+    /// The queue that a request belongs to: the one with the longest matching prefix among the
+    /// queues of its host.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<QueueRule>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let fits = |queue: &&Arc<QueueRule>| {
--- a/src/graph/send_window.rs
+++ b/src/graph/send_window.rs
@@ -1,27 +1,31 @@
-//! How many starts may be without an answer at the same time.
+//! Congestion window: limits how many starts may be unanswered at the same time.
 //!
-//! Load it answers: a leader on a link of 2 Mbit/s whose queues ask for 200 starts at once, each of some 700
-//! bytes both ways. Sent together they wait a second for the link, behind them renewals of leases and stops. As
-//! in TCP the window grows with answers in time, and is halved when they are late or missing.
+//! It protects a slow link, for instance one of 2 Mbit/s when queues need 200 starts at once, each
+//! of some 700 bytes both ways. Sent together, these wait a second for the link and delay lease
+//! renewals and stops behind them. As in TCP, the window grows with timely answers and is halved
+//! when answers are late or missing.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Starts at first: a job of the widest kind at once.
+/// Initial window: enough to start a job of the widest kind at once.
 const INITIAL_LIMIT: f64 = 128.0;
-/// Fewest: a link that answers nothing is still tried with a few jobs.
+/// Smallest window: a link that answers nothing is still probed with a few jobs.
 const MIN_LIMIT: f64 = 16.0;
-/// Most: each has a connection, and an entry keeps 1,200 descriptors for these, for polls and for the store.
+/// Largest window: each start has a connection, and an entry has 1,200 file descriptors for these,
+/// for polls and for the store.
 const MAX_LIMIT: f64 = 512.0;
-/// An answer after this time is late: the link or the machine has a queue, and renewals wait in it as well.
+/// Time from which an answer is late: the link or the machine has a queue, in which lease renewals
+/// wait as well.
 const LATE_ANSWER: Duration = Duration::from_millis(120);
-/// Share that is left of the window.
+/// Factor by which the window shrinks.
 const SHRINK_FACTOR: f64 = 0.5;
-/// Time after which it may shrink again: the answers to what was sent before say nothing new.
+/// Shortest interval between reductions of the window: answers to starts sent before the last
+/// reduction carry no new information.
 const SHRINK_PAUSE: Duration = Duration::from_millis(250);
 
-/// The window of a leader.
+/// The window of unanswered starts of a leader.
 #[derive(Clone, Debug)]
 pub struct SendWindow {
     limit: f64,
@@ -35,12 +39,12 @@
 }
 
 impl SendWindow {
-    /// Starts that may be without an answer.
+    /// Number of starts that may be unanswered.
     pub fn limit(&self) -> usize {
         self.limit as usize
     }
 
-    /// A start was answered after this time.
+    /// Records that a start was answered after `took`.
     pub fn answered(&mut self, now: Instant, took: Duration) {
         match took > LATE_ANSWER {
             true => self.shrink(now),
@@ -48,7 +52,7 @@
         }
     }
 
-    /// A start was not answered.
+    /// Records that a start was not answered.
     pub fn unanswered(&mut self, now: Instant) {
         self.shrink(now);
     }
--- a/src/graph/spec.rs
+++ b/src/graph/spec.rs
@@ -1,4 +1,4 @@
-//! Job graphs as callers submit them: steps of equal tasks, and which steps wait for which.
+//! Job graphs as submitted by callers: steps of equal tasks and their dependencies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,21 +9,22 @@
 use crate::id::{RackId, UnixMillis};
 use crate::resources::ResourceVector;
 
-/// Steps in one graph.
+/// Most steps in one graph.
 const MAX_STEPS: usize = 256;
-/// Tasks in one step.
+/// Most tasks in one step.
 const MAX_TASKS: u32 = 10_000;
-/// Longest run time or bound on one that a step may declare, a year: sums over a graph and their multiples
-/// stay far from what a `Duration` can hold.
+/// Longest run time or latency bound that a step may declare, about a year: sums over a graph and
+/// their multiples stay far below the range of `Duration`.
 const MAX_TIME: Duration = Duration::from_secs(366 * 24 * 3_600);
-/// How long after its acceptance a job's last occurrence may be due, a century: a later one will not come.
+/// Longest time from the acceptance of a job to its last occurrence, about a century.
 const MAX_SCHEDULE: Duration = Duration::from_secs(100 * 366 * 24 * 3_600);
-/// Bytes that notes of what succeeded may take in the store: half of its largest value, 1 MiB. The rest is
-/// for checkpoints and failed runs.
+/// Most bytes that the record of succeeded tasks may take in the store: half of the largest value,
+/// 1 MiB. The rest is for checkpoints and failed runs.
 const MAX_PROGRESS_BYTES: u64 = 512 << 10;
-/// Bytes of a task's note, four digits and a comma.
+/// Bytes of a task in that record: four digits and a comma.
 const TASK_PROGRESS_BYTES: u64 = 5;
-/// Bytes of a step's note in an occurrence, beside its tasks: two numbers and what encloses them.
+/// Bytes of a step in an occurrence in that record, without its tasks: two numbers and their
+/// delimiters.
 const STEP_PROGRESS_BYTES: u64 = 24;
 
 /// A step: a number of equal tasks.
@@ -37,13 +38,13 @@
     pub need: ResourceVector,
     /// Rough run time of a task, as the caller declares it.
     pub estimate: Duration,
-    /// Steps whose tasks must all have succeeded before.
+    /// Steps whose tasks must all have succeeded first.
     pub after: Vec<StepIndex>,
     /// Whether a task checkpoints its progress.
     pub checkpoints: bool,
-    /// Whether the tasks work only all together.
+    /// Whether the tasks can run only all at the same time.
     pub gang: bool,
-    /// Whether the tasks slow each other down unless they share a rack.
+    /// Whether the tasks run slower unless they share a rack.
     pub one_rack: bool,
     /// Label that a worker must have.
     pub label: Option<Arc<str>>,
@@ -51,22 +52,22 @@
     pub affinity: Option<RackId>,
     /// Most tasks of the step on one worker.
     pub max_per_worker: Option<u32>,
-    /// Whether copies of a task may run at the same time.
+    /// Whether several runs of a task may go on at the same time.
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
     pub lasting: bool,
     /// What the tasks run; tasks of one image behave alike.
     pub image: Option<ImageId>,
-    /// Bound on the tail latency that a lasting task serves its own users with.
+    /// Bound on the tail latency of the requests that a lasting task serves.
     pub target: Option<Duration>,
-    /// Whether the tasks use processors that others leave over, without a reservation of them.
+    /// Whether the tasks use processors that other tasks leave idle, without reserving any.
     pub best_effort: bool,
-    /// Most lasting tasks that may be away because of the system.
+    /// Most lasting tasks that may be unavailable because of actions of the system.
     pub max_unavailable: Option<u32>,
 }
 
 impl StepSpec {
-    /// What a task takes of a worker's room.
+    /// Capacity that a task reserves on a worker.
     pub fn reservation(&self) -> ResourceVector {
         match self.best_effort {
             true => ResourceVector::new(0, self.need.memory_mib, self.need.accelerators),
@@ -75,15 +76,15 @@
     }
 }
 
-/// A graph that runs again and again.
+/// Schedule of a graph that runs repeatedly.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct RepeatRule {
     /// Number of occurrences.
     pub count: u32,
-    /// When the first is due.
+    /// When the first occurrence is due.
     pub first: UnixMillis,
-    /// Time from one to the next.
+    /// Time between occurrences.
     pub interval: Duration,
 }
 
@@ -95,13 +96,13 @@
     pub id: GraphId,
     /// Queue that it was submitted to.
     pub queue: QueueId,
-    /// Handed to the worker with each task.
+    /// Payload that the worker gets with each task.
     pub payload: Arc<str>,
     /// The steps.
     pub steps: Vec<StepSpec>,
-    /// Occurrences, where it runs more than once.
+    /// Schedule, if the job runs more than once.
     pub repeat: Option<RepeatRule>,
-    /// When it was first seen.
+    /// When the job was first received.
     pub accepted: UnixMillis,
 }
 
@@ -111,7 +112,7 @@
         self.repeat.map_or(1, |repeat| repeat.count)
     }
 
-    /// When an occurrence is due; `None` where it is due at once.
+    /// When an occurrence is due; `None` if the job does not repeat and is due at once.
     pub fn due(&self, occurrence: u32) -> Option<UnixMillis> {
         let repeat = self.repeat?;
         let interval = u64::try_from(repeat.interval.as_millis()).unwrap_or(u64::MAX);
@@ -123,7 +124,8 @@
         self.steps.iter().any(|step| step.lasting)
     }
 
-    /// For each step, the longest chain of declared run times from its start to the graph's end.
+    /// For each step, the critical path of declared run times from its start to the end of the
+    /// graph.
     pub fn remaining_critical_paths(&self) -> Vec<Duration> {
         let mut critical_paths: Vec<Duration> =
             self.steps.iter().map(|step| step.estimate).collect();
@@ -137,7 +139,7 @@
         critical_paths
     }
 
-    /// What is wrong with the graph, in words for the caller.
+    /// Validates the graph; returns error messages for the caller.
     pub fn mistakes(&self) -> Vec<String> {
         let mut found = Vec::new();
         if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
@@ -159,8 +161,8 @@
         found
     }
 
-    /// What is wrong with its occurrences: that the last is never due, or that what becomes of them all
-    /// does not fit into a value of the store.
+    /// Validates the schedule: the last occurrence must not be too late, and the record of all
+    /// occurrences must fit into one value of the store.
     fn repeat_mistakes(&self) -> Vec<String> {
         let mut found = Vec::new();
         let last = self.due(self.occurrences().saturating_sub(1)).unwrap_or_default();
--- a/src/graph/step_capacity.rs
+++ b/src/graph/step_capacity.rs
@@ -1,4 +1,4 @@
-//! How many tasks of a step a worker has room for.
+//! How many tasks of a step fit on a worker.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +6,15 @@
 use crate::id::WorkerId;
 use crate::resources::ResourceVector;
 
-/// What a step may still place on workers, by its limit of tasks a worker.
+/// How many more tasks of a step fit on each worker, with regard to the limit of tasks per worker.
 ///
-/// Load it answers: lasting steps with one task a worker. Reckoned without the limit, workers that hold
-/// such a task seem to have room for another, and a step of 40 tasks that was allowed 28 workers asked
-/// about these for ever and left 12 tasks waiting.
+/// The limit matters for lasting steps with one task per worker: without it, workers that run such
+/// a task seemed to have capacity for another. A step of 40 tasks that was allowed 28 workers then
+/// requested advice on these forever and left 12 tasks waiting.
 pub(crate) struct StepCapacity {
     need: ResourceVector,
     max_per_worker: Option<u32>,
-    /// Tasks of the step that hold or were given room, by worker; empty without a limit.
+    /// Tasks of the step on each worker, running or planned; empty without a limit.
     placed: BTreeMap<WorkerId, u32>,
 }
 
@@ -23,22 +23,22 @@
         Self { need: step.reservation(), max_per_worker: step.max_per_worker, placed }
     }
 
-    /// Tasks that the limit still allows on a worker.
-    pub(crate) fn allows(&self, worker: &WorkerId) -> u32 {
+    /// Number of further tasks on a worker that the limit allows.
+    pub(crate) fn remaining(&self, worker: &WorkerId) -> u32 {
         let placed = self.placed.get(worker).copied().unwrap_or(0);
         self.max_per_worker.map_or(u32::MAX, |max_per_worker| max_per_worker.saturating_sub(placed))
     }
 
-    /// Tasks that fit in what is free on a worker now.
-    pub(crate) fn holds(&self, worker: &WorkerId, free: &ResourceVector) -> usize {
-        tasks_that_fit(free, &self.need).min(self.allows(worker)) as usize
+    /// Number of further tasks that fit into the free capacity of a worker.
+    pub(crate) fn fitting_tasks(&self, worker: &WorkerId, free: &ResourceVector) -> usize {
+        tasks_that_fit(free, &self.need).min(self.remaining(worker)) as usize
     }
 }
 
-/// Number of tasks of a size that a room holds.
+/// Number of tasks with the given need that fit into a capacity.
 pub(crate) fn tasks_that_fit(free: &ResourceVector, need: &ResourceVector) -> u32 {
-    let holds = |free: u32, need: u32| free.checked_div(need).unwrap_or(u32::MAX);
-    holds(free.millicores, need.millicores)
-        .min(holds(free.memory_mib, need.memory_mib))
-        .min(holds(free.accelerators, need.accelerators))
+    let quotient = |free: u32, need: u32| free.checked_div(need).unwrap_or(u32::MAX);
+    quotient(free.millicores, need.millicores)
+        .min(quotient(free.memory_mib, need.memory_mib))
+        .min(quotient(free.accelerators, need.accelerators))
 }
