--- a/src/graph/commit.rs
+++ b/src/graph/commit.rs
@@ -178,7 +178,7 @@
     }
 
     /// Whether a group is in flight to the store.
-    pub fn is_open(&self) -> bool {
+    pub fn has_group_in_flight(&self) -> bool {
         self.in_flight.is_some()
     }
 
--- a/src/graph/controller.rs
+++ b/src/graph/controller.rs
@@ -372,7 +372,7 @@
             due = due.min(self.last_pass + self.pass_interval);
         }
         due = self.instances.next_poll().map_or(due, |poll| due.min(poll));
-        due = self.deferred.iter().map(|deferred| deferred.until).fold(due, Instant::min);
+        due = self.deferred.iter().map(|deferred| deferred.deadline).fold(due, Instant::min);
         if self.commits.is_due(now) || !self.crashes.is_empty() {
             return now;
         }
--- a/src/graph/controller/commands.rs
+++ b/src/graph/controller/commands.rs
@@ -153,7 +153,7 @@
         let sent = instance.runs.get(task).map(|worker_run| worker_run.since);
         let min_clock = sent.and_then(|sent| instance.clock_reached_by(sent));
         let taken_by_newer_instance =
-            matches!((&result, min_clock), (Ok(clock), Some(least)) if *clock < least);
+            matches!((&result, min_clock), (Ok(clock), Some(min_clock)) if *clock < min_clock);
         if taken_by_newer_instance {
             instance.last_poll_answer = None;
         }
--- a/src/graph/controller/submissions.rs
+++ b/src/graph/controller/submissions.rs
@@ -46,7 +46,7 @@
     forced: bool,
     since: Instant,
     /// When the job is refused if the registrations have not been read by then.
-    pub(super) until: Instant,
+    pub(super) deadline: Instant,
 }
 
 impl GraphController {
@@ -136,7 +136,7 @@
         forced: bool,
     ) {
         let transit_time = REFUSAL_TRANSIT_TIME.min(caller_timeout / TRANSIT_DIVISOR);
-        let until = now + REGISTRATIONS_WAIT.min(caller_timeout.saturating_sub(transit_time));
+        let deadline = now + REGISTRATIONS_WAIT.min(caller_timeout.saturating_sub(transit_time));
         let since = now;
         self.deferred.push(DeferredSubmission {
             call,
@@ -145,7 +145,7 @@
             record,
             forced,
             since,
-            until,
+            deadline,
         });
     }
 
@@ -166,7 +166,7 @@
     /// Refuses jobs that have waited too long for the registrations.
     pub(super) fn refuse_overdue(&mut self, now: Instant) {
         let overdue: Vec<DeferredSubmission> =
-            self.deferred.extract_if(.., |deferred| deferred.until <= now).collect();
+            self.deferred.extract_if(.., |deferred| deferred.deadline <= now).collect();
         for deferred in overdue {
             info!(job = &*deferred.record.spec.id; "job refused: the worker registrations are not read yet");
             self.actions.push(GraphAction::Answer(deferred.call, GraphAnswer::Unready));
@@ -234,8 +234,8 @@
 
     /// Cancels a job; the answer is sent once the cancellation is stored.
     pub fn cancel(&mut self, now: Instant, unix: UnixMillis, call: CallId, id: &GraphId) {
-        let own = self.jobs.get(id).filter(|job| !job.is_part());
-        let state = own.map(GraphJob::state);
+        let job = self.jobs.get(id).filter(|job| !job.is_part());
+        let state = job.map(GraphJob::state);
         let answer = match state {
             None | Some(GraphState::Completed | GraphState::Failed) => Some(GraphAnswer::Gone),
             Some(GraphState::Cancelled) => Some(GraphAnswer::Cancelled),
--- a/src/graph/event.rs
+++ b/src/graph/event.rs
@@ -47,7 +47,7 @@
         /// Number of the run.
         run: RunNumber,
     },
-    /// Limit a run to a part of its speed.
+    /// Limit a run to a share of its speed.
     Throttle {
         /// The worker.
         worker: WorkerId,
@@ -57,7 +57,7 @@
         task: TaskName,
         /// Number of the run.
         run: RunNumber,
-        /// The part in percent.
+        /// Share of its full speed, in percent.
         percent: u32,
     },
     /// Request placement advice through an entry.
--- a/src/graph/placer.rs
+++ b/src/graph/placer.rs
@@ -165,9 +165,9 @@
         for job in
             self.view.jobs.schedulable().filter(|job| !self.view.unsettled_domains.affects(job))
         {
-            let before = steps.len();
-            self.open_steps(job, &mut steps);
-            if steps.len() == before && job.spec.repeat.is_none() {
+            let count_before = steps.len();
+            self.collect_open_steps(job, &mut steps);
+            if steps.len() == count_before && job.spec.repeat.is_none() {
                 self.plan.idle_jobs.push(job.spec.id.clone());
             }
         }
@@ -181,7 +181,7 @@
         self.plan
     }
 
-    fn open_steps(&self, job: &'t GraphJob, steps: &mut Vec<OpenStep<'t>>) {
+    fn collect_open_steps(&self, job: &'t GraphJob, steps: &mut Vec<OpenStep<'t>>) {
         let limit = steps.len() + MAX_OPEN_STEPS;
         for occurrence in 0..job.spec.occurrences() {
             let due = job.spec.due(occurrence);
@@ -228,8 +228,8 @@
             !step.lasting && elapsed + critical_path > objective * VALUE_EXPIRY_FACTOR;
         // Late jobs are not served after all jobs in time: a backlog would wait until load falls
         // and lose the value that it still has.
-        let loses_at = if late { objective * VALUE_EXPIRY_FACTOR } else { objective };
-        let latest = (self.view.now + loses_at)
+        let value_duration = if late { objective * VALUE_EXPIRY_FACTOR } else { objective };
+        let latest = (self.view.now + value_duration)
             .checked_sub(elapsed + critical_path)
             .unwrap_or(self.view.now);
         ServingOrder { value_expired, priority: job.rule.priority, latest_start: latest, late }
--- a/src/graph/placer/tasks.rs
+++ b/src/graph/placer/tasks.rs
@@ -100,7 +100,7 @@
             && self.view.reservations.get(&step.job.task_name(task)).is_none()
     }
 
-    /// Whether a step would lose value that its job can still have by waiting longer.
+    /// Whether the job of a step would lose value that it can still keep if the step waited longer.
     pub(super) fn would_lose_value(&self, step: &OpenStep<'t>) -> bool {
         let start_is_due = step.order.latest_start <= self.view.now + PREEMPTION_LEAD;
         start_is_due && (step.step.lasting || !step.order.value_expired)
@@ -139,7 +139,7 @@
             .filter(|id| task_counts.get(*id).copied().unwrap_or(0) < limit)
             .filter_map(|id| {
                 let capacity = self.capacities.get(id)?;
-                let found = choose_victims(
+                let selection = choose_victims(
                     capacity.instance,
                     self.view.now,
                     &capacity.free,
@@ -147,7 +147,7 @@
                     priority,
                     budget,
                 );
-                let (lost, chosen) = found?;
+                let (lost, chosen) = selection?;
                 let already_chosen = chosen.iter().any(|victim| self.victims.contains(victim));
                 (!already_chosen && !chosen.is_empty()).then_some((lost, id, chosen))
             })
--- a/src/graph/send_window.rs
+++ b/src/graph/send_window.rs
@@ -58,8 +58,8 @@
     }
 
     fn shrink(&mut self, now: Instant) {
-        let rested = |at: Instant| now.saturating_duration_since(at) >= SHRINK_PAUSE;
-        if self.last_shrink.is_none_or(rested) {
+        let may_shrink = |at: Instant| now.saturating_duration_since(at) >= SHRINK_PAUSE;
+        if self.last_shrink.is_none_or(may_shrink) {
             self.last_shrink = Some(now);
             self.limit = (self.limit * SHRINK_FACTOR).max(MIN_LIMIT);
         }
--- a/src/graph/spec.rs
+++ b/src/graph/spec.rs
@@ -141,41 +141,41 @@
 
     /// Validates the graph; returns error messages for the caller.
     pub fn mistakes(&self) -> Vec<String> {
-        let mut found = Vec::new();
+        let mut errors = Vec::new();
         if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
-            found.push(format!("{} steps: expected 1 to {MAX_STEPS}", self.steps.len()));
+            errors.push(format!("{} steps: expected 1 to {MAX_STEPS}", self.steps.len()));
         }
         for (index, step) in self.steps.iter().enumerate() {
             if step.count == 0 || step.count > MAX_TASKS {
-                found
+                errors
                     .push(format!("step {index}: {} tasks: expected 1 to {MAX_TASKS}", step.count));
             }
             if step.after.iter().any(|before| *before as usize >= index) {
-                found.push(format!("step {index} waits for a step that is not before it"));
+                errors.push(format!("step {index} waits for a step that is not before it"));
             }
             if step.estimate.max(step.target.unwrap_or_default()) > MAX_TIME {
-                found.push(format!("step {index} has a time of over {MAX_TIME:?}"));
+                errors.push(format!("step {index} has a time of over {MAX_TIME:?}"));
             }
         }
-        found.extend(self.repeat_mistakes());
-        found
+        errors.extend(self.repeat_mistakes());
+        errors
     }
 
     /// Validates the schedule: the last occurrence must not be too late, and the record of all
     /// occurrences must fit into one value of the store.
     fn repeat_mistakes(&self) -> Vec<String> {
-        let mut found = Vec::new();
+        let mut errors = Vec::new();
         let last = self.due(self.occurrences().saturating_sub(1)).unwrap_or_default();
         let latest = u64::try_from(MAX_SCHEDULE.as_millis()).unwrap_or(u64::MAX);
         if last.saturating_sub(self.accepted) > latest {
-            found.push(format!("the last occurrence is due after over {MAX_SCHEDULE:?}"));
+            errors.push(format!("the last occurrence is due after over {MAX_SCHEDULE:?}"));
         }
         let step_bytes =
             |step: &StepSpec| STEP_PROGRESS_BYTES + TASK_PROGRESS_BYTES * u64::from(step.count);
         let occurrence_bytes: u64 = self.steps.iter().map(step_bytes).sum();
         if occurrence_bytes.saturating_mul(self.occurrences().into()) > MAX_PROGRESS_BYTES {
-            found.push("too many tasks over all steps and occurrences".to_owned());
+            errors.push("too many tasks over all steps and occurrences".to_owned());
         }
-        found
+        errors
     }
 }
