--- a/src/graph/answer_time.rs
+++ b/src/graph/answer_time.rs
@@ -11,11 +11,11 @@
 
 /// Shortest wait: answers take a few milliseconds, and a command that was lost should cost its task this time
 /// only.
-const LEAST_WAIT: Duration = Duration::from_millis(150);
+const MIN_WAIT: Duration = Duration::from_millis(150);
 /// Longest wait: a worker's lease of 4.5 s has to outlive two of them.
-const LONGEST_WAIT: Duration = Duration::from_millis(1_500);
+const MAX_WAIT: Duration = Duration::from_millis(1_500);
 /// Times that the wait is doubled at most.
-const MOST_DOUBLINGS: u32 = 4;
+const MAX_DOUBLINGS: u32 = 4;
 
 /// Measured times of answers, over all workers.
 #[derive(Clone, Debug, Default)]
@@ -24,14 +24,14 @@
     deviation: Duration,
     doublings: u32,
     /// When the wait was doubled last.
-    doubled: Option<Instant>,
+    doubled_at: Option<Instant>,
 }
 
 impl AnswerTime {
     /// How long an answer is waited for now.
     pub fn wait(&self) -> Duration {
         let measured = self.smoothed + self.deviation * 4;
-        (measured.max(LEAST_WAIT) * (1 << self.doublings)).min(LONGEST_WAIT)
+        (measured.max(MIN_WAIT) * (1 << self.doublings)).min(MAX_WAIT)
     }
 
     /// An answer took this long.
@@ -49,9 +49,9 @@
     /// No answer came within the wait. Many that were sent together double it once.
     pub fn unanswered(&mut self, now: Instant) {
         let wait = self.wait();
-        if self.doubled.is_none_or(|at| now.saturating_duration_since(at) >= wait) {
-            self.doubled = Some(now);
-            self.doublings = (self.doublings + 1).min(MOST_DOUBLINGS);
+        if self.doubled_at.is_none_or(|at| now.saturating_duration_since(at) >= wait) {
+            self.doubled_at = Some(now);
+            self.doublings = (self.doublings + 1).min(MAX_DOUBLINGS);
         }
     }
 }
--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -19,7 +19,7 @@
 /// they start, after 10 ms in the logs; one that loads for a second first is covered as well.
 pub(crate) const PROBATION: Duration = Duration::from_secs(1);
 /// How many of the crashes have to be under runs that surely went on until then: one may have any cause.
-const SURE_CRASHES: usize = 2;
+const MIN_CERTAIN_CRASHES: usize = 2;
 /// Crashes from which a task is given up where nothing else explains the last of them. Each costs a worker with all that
 /// runs there.
 pub(crate) const LONE_CAUSE_CRASH_LIMIT: usize = 2;
@@ -28,40 +28,45 @@
 /// The same where other workers went at the same moment: racks that go three times in a row leave it short of this.
 pub(crate) const CORRELATED_CRASH_LIMIT: usize = 4;
 /// The same without two such crashes, where all workers were replaced: a run may have ended unheard before its worker went.
-const PROVEN_LIMIT: usize = 3;
+const PROVEN_CRASH_LIMIT: usize = 3;
 /// The same where some workers are only silent, or some runs may never have begun.
-const UNSURE_LIMIT: usize = 4;
+const UNCERTAIN_CRASH_LIMIT: usize = 4;
 /// Runs that have to have begun before a task is given up, whatever else is doubtful: a start that is not answered may not
 /// have arrived.
-const BEGUN_RUNS: usize = 2;
+const MIN_BEGUN_RUNS: usize = 2;
 /// Crashes, and silences that may be crashes, from which the next start is spread.
-const SPREAD_FROM: usize = 2;
+const DELAY_CRASH_COUNT: usize = 2;
 /// Longest pause before a suspected task is started again. Several that start at one moment crash their workers at one
 /// moment, which then looks like a rack that goes: four of them were started in step six times.
-const SPREAD: Duration = Duration::from_millis(800);
+const MAX_START_SPREAD: Duration = Duration::from_millis(800);
 /// Added to the pause from one more on, and doubled with each further one: doubtful starts alone do not end a job, and may
 /// cost a worker each.
 const BACKOFF: Duration = Duration::from_secs(1);
 /// Longest such addition.
-const LONGEST_BACKOFF: Duration = Duration::from_secs(8);
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 /// Pause where the return of a silent worker would prove the crash that ends the job: a worker that has crashed is back some
 /// seconds after its lease has run out, and each start before that may cost another.
-const PROOF_PAUSE: Duration = Duration::from_secs(5);
+const SILENT_WORKER_PAUSE: Duration = Duration::from_secs(5);
 /// Doublings after which the longest is reached.
-const MOST_DOUBLINGS: usize = 3;
+const MAX_DOUBLINGS: usize = 3;
 
 /// Pause before a task is started again under which workers have crashed or may have; it differs from task to task.
-pub(crate) fn pause_after(task: &TaskName, run: RunNumber, count: &CrashCount) -> Option<Duration> {
-    let beyond = count.all.checked_sub(SPREAD_FROM)?;
+pub(crate) fn restart_delay(
+    task: &TaskName,
+    run: RunNumber,
+    count: &CrashCount,
+) -> Option<Duration> {
+    let extra_crashes = count.all.checked_sub(DELAY_CRASH_COUNT)?;
     let mut hasher = DefaultHasher::new();
     (task, run).hash(&mut hasher);
-    let spread = SPREAD * u32::try_from(hasher.finish() % 1_000).unwrap_or(0) / 1_000;
-    let backoff = match beyond {
+    let spread = MAX_START_SPREAD * u32::try_from(hasher.finish() % 1_000).unwrap_or(0) / 1_000;
+    let backoff = match extra_crashes {
         0 => Duration::ZERO,
-        more => (BACKOFF * (1 << (more - 1).min(MOST_DOUBLINGS))).min(LONGEST_BACKOFF),
+        more => (BACKOFF * (1 << (more - 1).min(MAX_DOUBLINGS))).min(MAX_BACKOFF),
     };
-    let proof = if count.hinges_on_silence() { PROOF_PAUSE } else { Duration::ZERO };
-    Some(spread + backoff.max(proof))
+    let silence_pause =
+        if count.needs_one_more_proof() { SILENT_WORKER_PAUSE } else { Duration::ZERO };
+    Some(spread + backoff.max(silence_pause))
 }
 
 /// A run that may have crashed its worker, as the store keeps it: the next leader may be the one that hears of it.
@@ -109,15 +114,15 @@
 
 impl CrashCount {
     /// Whether one more proof gives the task up, and a silent worker may bring it.
-    fn hinges_on_silence(&self) -> bool {
-        self.proven + 1 == PROVEN_LIMIT && self.begun >= PROVEN_LIMIT
+    fn needs_one_more_proof(&self) -> bool {
+        self.proven + 1 == PROVEN_CRASH_LIMIT && self.begun >= PROVEN_CRASH_LIMIT
     }
 
     /// Whether the task is to be given up, by the limit that follows from what else explains the last crash.
-    pub(crate) fn is_too_many(&self, limit: usize) -> bool {
-        (self.sure >= SURE_CRASHES && self.all >= limit)
-            || self.proven >= PROVEN_LIMIT.max(limit)
-            || (self.begun >= BEGUN_RUNS && self.all >= UNSURE_LIMIT.max(limit + 1))
+    pub(crate) fn exceeds_limit(&self, limit: usize) -> bool {
+        (self.sure >= MIN_CERTAIN_CRASHES && self.all >= limit)
+            || self.proven >= PROVEN_CRASH_LIMIT.max(limit)
+            || (self.begun >= MIN_BEGUN_RUNS && self.all >= UNCERTAIN_CRASH_LIMIT.max(limit + 1))
     }
 }
 
--- a/src/graph/crash_table.rs
+++ b/src/graph/crash_table.rs
@@ -20,32 +20,32 @@
 
 /// Workers that fall silent this close to each other have one cause: a rack, a switch or a cut. Calls to a worker that
 /// has crashed break within some milliseconds.
-const SAME_MOMENT: Duration = Duration::from_millis(50);
+const CORRELATION_WINDOW: Duration = Duration::from_millis(50);
 /// A start that came this much later than another is the likelier cause of a crash. Of 18 tasks that ran beside the
 /// first starts of six that crash their workers, two were given up without.
-const LIKELIER_AFTER: Duration = Duration::from_millis(100);
+const LIKELY_CAUSE_DELAY: Duration = Duration::from_millis(100);
 /// How long a machine that has crashed may do so by itself again: workers that go up and down by turns do for 30 s.
-const MACHINE_DOUBT: Duration = Duration::from_secs(30);
+const MACHINE_CRASH_RETENTION: Duration = Duration::from_secs(30);
 /// How long runs that were given up are remembered for the proof that their worker had crashed: it is back seconds
 /// after its crash, and registers within one heartbeat.
-const PROOF_TIME: Duration = Duration::from_secs(60);
+const SILENT_RUN_RETENTION: Duration = Duration::from_secs(60);
 
 /// Runs on probation that were given up with a worker that may have crashed under them.
 #[derive(Debug)]
 struct SilentInstance {
     address: SocketAddr,
-    since: Instant,
+    given_up_at: Instant,
     /// When calls began to fail; `None` for one of an earlier leader's time.
-    moment: Option<Instant>,
+    failing_since: Option<Instant>,
     suspects: Vec<CrashSuspect>,
 }
 
 /// Crashes of workers, and silences that may turn out to be crashes.
 #[derive(Debug, Default)]
 pub(crate) struct CrashTable {
-    silent: BTreeMap<InstanceId, SilentInstance>,
+    silent_instances: BTreeMap<InstanceId, SilentInstance>,
     /// The last crash of the machine at an address.
-    crashed: BTreeMap<SocketAddr, MachineCrash>,
+    machine_crashes: BTreeMap<SocketAddr, MachineCrash>,
 }
 
 /// A crash, as the machine's later ones are weighed by it.
@@ -54,9 +54,9 @@
     /// When it was noticed.
     noticed: Instant,
     /// When calls began to fail, where that is known.
-    moment: Option<Instant>,
+    failing_since: Option<Instant>,
     /// Whether nothing had been started there that could have caused it.
-    unprompted: bool,
+    spontaneous: bool,
 }
 
 /// A crash as it shows, before it is known what else may have caused it.
@@ -64,7 +64,7 @@
     worker: WorkerId,
     address: SocketAddr,
     /// When calls began to fail, where that is known.
-    moment: Option<Instant>,
+    failing_since: Option<Instant>,
     suspects: Vec<CrashSuspect>,
 }
 
@@ -76,31 +76,41 @@
         now: Instant,
         task: TaskName,
         suspect_run: SuspectRun,
-        moment: Option<Instant>,
+        failing_since: Option<Instant>,
     ) {
         let SuspectRun { run, worker, address, instance_start } = suspect_run;
-        self.silent
-            .retain(|_, instance| now.saturating_duration_since(instance.since) < PROOF_TIME);
-        let instance = self.silent.entry(InstanceId::new(worker, instance_start));
+        self.silent_instances.retain(|_, instance| {
+            now.saturating_duration_since(instance.given_up_at) < SILENT_RUN_RETENTION
+        });
+        let instance = self.silent_instances.entry(InstanceId::new(worker, instance_start));
         let instance = instance.or_insert(SilentInstance {
             address,
-            since: now,
-            moment,
+            given_up_at: now,
+            failing_since,
             suspects: Vec::new(),
         });
         instance.suspects.push(CrashSuspect { task, run, sure: false, begun: false });
     }
 
     /// A life of a worker answers: where it was silent it has not crashed, and other lives that were have.
-    pub(crate) fn answered(&mut self, now: Instant, instance: &InstanceId) -> Vec<WorkerCrash> {
-        let over: Vec<(InstanceId, SilentInstance)> =
-            self.silent.extract_if(.., |silent, _| silent.is_other_instance_of(instance)).collect();
-        self.silent.retain(|silent, _| silent.worker != instance.worker);
-        over.into_iter().map(|(silent, over)| self.prove(now, silent, over)).collect()
+    pub(crate) fn handle_answer(
+        &mut self,
+        now: Instant,
+        instance: &InstanceId,
+    ) -> Vec<WorkerCrash> {
+        let ended_instances: Vec<(InstanceId, SilentInstance)> = self
+            .silent_instances
+            .extract_if(.., |silent, _| silent.is_other_instance_of(instance))
+            .collect();
+        self.silent_instances.retain(|silent, _| silent.worker != instance.worker);
+        ended_instances
+            .into_iter()
+            .map(|(id, instance)| self.confirm_crash(now, id, instance))
+            .collect()
     }
 
     /// A life of a worker has crashed; other workers have been silent since the moments given.
-    pub(crate) fn crashed(
+    pub(crate) fn note_crash(
         &mut self,
         now: Instant,
         instance: &WorkerInstance,
@@ -110,18 +120,18 @@
         let mut suspects: Vec<CrashSuspect> =
             on_probation.map(|(task, run)| CrashSuspect::new(now, task, run, instance)).collect();
         suspects.extend(
-            self.silent
+            self.silent_instances
                 .remove(&instance.instance_id())
                 .into_iter()
                 .flat_map(|instance| instance.suspects),
         );
         let (worker, address) = (instance.id().clone(), instance.address());
-        let moment = instance.silent_since;
-        self.weigh(now, ProvenCrash { worker, address, moment, suspects }, silent)
+        let failing_since = instance.silent_since;
+        self.assess_crash(now, ProvenCrash { worker, address, failing_since, suspects }, silent)
     }
 
     /// Another worker answers at an address: those that went silent there, and were not heard of again, have crashed.
-    pub(crate) fn succeeded(
+    pub(crate) fn handle_successor(
         &mut self,
         now: Instant,
         address: SocketAddr,
@@ -131,52 +141,69 @@
             instance.address == address && !known(&id.worker)
         };
         let gone: Vec<(InstanceId, SilentInstance)> =
-            self.silent.extract_if(.., |id, instance| gone(id, instance)).collect();
-        gone.into_iter().map(|(id, instance)| self.prove(now, id, instance)).collect()
+            self.silent_instances.extract_if(.., |id, instance| gone(id, instance)).collect();
+        gone.into_iter().map(|(id, instance)| self.confirm_crash(now, id, instance)).collect()
     }
 
     /// A life that was silent has surely crashed.
-    fn prove(&mut self, now: Instant, id: InstanceId, instance: SilentInstance) -> WorkerCrash {
-        let SilentInstance { address, moment, suspects, .. } = instance;
-        self.weigh(now, ProvenCrash { worker: id.worker, address, moment, suspects }, &[])
+    fn confirm_crash(
+        &mut self,
+        now: Instant,
+        id: InstanceId,
+        instance: SilentInstance,
+    ) -> WorkerCrash {
+        let SilentInstance { address, failing_since, suspects, .. } = instance;
+        self.assess_crash(
+            now,
+            ProvenCrash { worker: id.worker, address, failing_since, suspects },
+            &[],
+        )
     }
 
     /// Whether the machine at an address has crashed lately.
     pub(crate) fn crashed_lately(&self, now: Instant, address: &SocketAddr) -> bool {
-        self.crashed.get(address).is_some_and(|crash| crash.counts(now))
+        self.machine_crashes.get(address).is_some_and(|crash| crash.is_recent(now))
     }
 
-    fn weigh(&mut self, now: Instant, crash: ProvenCrash, silent: &[Instant]) -> WorkerCrash {
-        let ProvenCrash { worker, address, moment, suspects } = crash;
+    fn assess_crash(
+        &mut self,
+        now: Instant,
+        crash: ProvenCrash,
+        silent: &[Instant],
+    ) -> WorkerCrash {
+        let ProvenCrash { worker, address, failing_since, suspects } = crash;
         let mut likely = suspects.iter().filter(|suspect| suspect.sure);
         let first = likely.next().map(|suspect| &suspect.task.job);
-        let one_job = likely.all(|suspect| Some(&suspect.task.job) == first);
-        self.crashed.retain(|_, crash| crash.counts(now));
-        let elsewhere = self.crashed.iter().filter(|(other, _)| **other != address);
+        let is_single_job = likely.all(|suspect| Some(&suspect.task.job) == first);
+        self.machine_crashes.retain(|_, crash| crash.is_recent(now));
+        let elsewhere = self.machine_crashes.iter().filter(|(other, _)| **other != address);
         let mut others =
-            elsewhere.filter_map(|(_, crash)| crash.moment).chain(silent.iter().copied());
-        let alone = !moment.is_some_and(|moment| others.any(|other| is_same_moment(other, moment)));
-        let before = self.crashed.get(&address).is_some_and(|crash| crash.unprompted);
-        let limit = match alone {
-            true if one_job && !before => LONE_CAUSE_CRASH_LIMIT,
+            elsewhere.filter_map(|(_, crash)| crash.failing_since).chain(silent.iter().copied());
+        let is_isolated =
+            !failing_since.is_some_and(|moment| others.any(|other| is_correlated(other, moment)));
+        let was_spontaneous =
+            self.machine_crashes.get(&address).is_some_and(|crash| crash.spontaneous);
+        let limit = match is_isolated {
+            true if is_single_job && !was_spontaneous => LONE_CAUSE_CRASH_LIMIT,
             true => MULTI_CAUSE_CRASH_LIMIT,
             false => CORRELATED_CRASH_LIMIT,
         };
-        let unprompted = suspects.is_empty() || before;
-        self.crashed.insert(address, MachineCrash { noticed: now, moment, unprompted });
+        let spontaneous = suspects.is_empty() || was_spontaneous;
+        self.machine_crashes
+            .insert(address, MachineCrash { noticed: now, failing_since, spontaneous });
         WorkerCrash { worker, suspects, limit }
     }
 }
 
 impl MachineCrash {
-    fn counts(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.noticed) < MACHINE_DOUBT
+    fn is_recent(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.noticed) < MACHINE_CRASH_RETENTION
     }
 }
 
-fn is_same_moment(one: Instant, other: Instant) -> bool {
+fn is_correlated(one: Instant, other: Instant) -> bool {
     let apart = one.max(other).saturating_duration_since(one.min(other));
-    apart < SAME_MOMENT
+    apart < CORRELATION_WINDOW
 }
 
 impl CrashSuspect {
@@ -186,9 +213,9 @@
         let started_after = |(other, later): (&TaskName, &WorkerRun)| {
             other.job != task.job
                 && later.probation.is_some()
-                && later.since >= run.since + LIKELIER_AFTER
+                && later.since >= run.since + LIKELY_CAUSE_DELAY
         };
-        let went_on = instance.surely_went_on(run, now);
+        let went_on = instance.was_certainly_running(run, now);
         let sure = went_on && !stopping && !instance.runs.iter().any(started_after);
         Self { task: task.clone(), run: run.run, sure, begun: run.begun }
     }
--- a/src/graph/exchange.rs
+++ b/src/graph/exchange.rs
@@ -31,10 +31,10 @@
 
     /// Whether both are surely different lives of the same worker.
     pub fn is_other_instance_of(&self, other: &Self) -> bool {
-        let told_apart = self.instance_start.is_some()
+        let starts_differ = self.instance_start.is_some()
             && other.instance_start.is_some()
             && self.instance_start != other.instance_start;
-        told_apart && self.worker == other.worker
+        starts_differ && self.worker == other.worker
     }
 }
 
--- a/src/graph/instances.rs
+++ b/src/graph/instances.rs
@@ -35,16 +35,16 @@
 /// first there is none: a single poll that was lost says nothing of the worker.
 const MISS_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause after polls without an answer.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const MAX_MISS_PAUSE: Duration = Duration::from_millis(800);
 /// A worker that has not answered for this long is given no new work.
 pub(crate) const SILENCE_LIMIT: Duration = Duration::from_millis(1_900);
 /// Calls in a row without an answer, and time since the first, from which the runs on probation at a worker are kept
 /// in the store: of the polls one in twenty may be lost.
-const DOUBTED_MISSES: u32 = 2;
-const DOUBTED_SILENCE: Duration = Duration::from_millis(100);
+const SUSPECT_MISSES: u32 = 2;
+const SUSPECT_SILENCE_TIME: Duration = Duration::from_millis(100);
 /// How long a worker whose registration has gone counts on where a job is judged: registrations that expired while the
 /// store was away are back two seconds after it, and the watch tells of them later.
-pub(crate) const RETURN_TIME: Duration = Duration::from_millis(2_500);
+pub(crate) const REREGISTRATION_TIME: Duration = Duration::from_millis(2_500);
 /// Shortest time from one poll to the next: ends that come close together share an answer.
 const POLL_GAP: Duration = Duration::from_millis(15);
 
@@ -112,7 +112,7 @@
         }
         match self.instances.get_mut(&registration.id) {
             Some(instance) => {
-                (instance.registered, instance.expected_until) = (true, None);
+                (instance.registered, instance.reregistration_deadline) = (true, None);
                 instance.update_registration(now, registration);
             }
             None => {
@@ -143,14 +143,15 @@
         if let Some(instance) = self.instances.get_mut(id)
             && std::mem::replace(&mut instance.registered, false)
         {
-            instance.expected_until = instance.leaves.is_none().then(|| now + RETURN_TIME);
+            instance.reregistration_deadline =
+                instance.leaves.is_none().then(|| now + REREGISTRATION_TIME);
         }
     }
 
     /// A worker is not to be used any more, though it may be registered.
     pub(crate) fn stop_using(&mut self, id: &WorkerId) {
         if let Some(instance) = self.instances.get_mut(id) {
-            (instance.registered, instance.expected_until) = (false, None);
+            (instance.registered, instance.reregistration_deadline) = (false, None);
         }
     }
 
@@ -162,15 +163,15 @@
         if instance.leaves.is_some() {
             return self.end_instance(id, InstanceEnd::Left);
         }
-        let silent = self.silent_beside(id);
-        let crash = self.crashes.crashed(now, instance, &silent);
-        let mut found = self.end_instance(id, InstanceEnd::Replaced);
-        found.push(WorkerEvent::Crashed(crash));
-        found
+        let silent = self.other_silences(id);
+        let crash = self.crashes.note_crash(now, instance, &silent);
+        let mut events = self.end_instance(id, InstanceEnd::Replaced);
+        events.push(WorkerEvent::Crashed(crash));
+        events
     }
 
     /// Since when other workers have been silent.
-    fn silent_beside(&self, id: &WorkerId) -> Vec<Instant> {
+    fn other_silences(&self, id: &WorkerId) -> Vec<Instant> {
         let others = self.instances.values().filter(|other| other.id() != id);
         others.filter_map(|other| other.silent_since).collect()
     }
@@ -180,13 +181,13 @@
         let Some(instance) = self.instances.remove(id) else {
             return Vec::new();
         };
-        let mut found = vec![WorkerEvent::Over(id.clone(), end)];
+        let mut events = vec![WorkerEvent::Over(id.clone(), end)];
         let lost = instance
             .runs
             .into_iter()
             .map(|(task, run)| LostRun::new(task, run, instance.last_answer));
-        found.extend(lost.map(|lost| WorkerEvent::Lost(id.clone(), lost)));
-        found
+        events.extend(lost.map(|lost| WorkerEvent::Lost(id.clone(), lost)));
+        events
     }
 
     /// Polls that are due. Without `extend` leases are left as they are, and so are those of workers that
@@ -210,9 +211,9 @@
                 false => None,
             };
             instance.offered_lease_end = until;
-            let heard =
+            let ends_stored =
                 instance.last_stored_end == instance.last_end && instance.withheld_end.is_none();
-            let current = instance.claimed && heard && instance.misses == 0;
+            let current = instance.claimed && ends_stored && instance.misses == 0;
             let wait = match current {
                 true if instance.runs.is_empty() => IDLE_WAIT,
                 true => busy_wait,
@@ -222,7 +223,7 @@
                 worker: instance.id().clone(),
                 address: instance.address(),
                 until,
-                acked: if same_instance { instance.acknowledgeable() } else { 0 },
+                acked: if same_instance { instance.highest_ackable_end() } else { 0 },
                 wait,
             });
         }
@@ -242,9 +243,9 @@
         id: &WorkerId,
         reply: PollReply,
     ) -> Vec<WorkerEvent> {
-        let mut found = self.heard(now, id, &reply);
+        let mut events = self.note_poll_answer(now, id, &reply);
         let Some(instance) = self.instances.get_mut(id) else {
-            return found;
+            return events;
         };
         if let Some(first) = reply.ended.first().map(|end| end.number)
             && instance.last_end > 0
@@ -268,20 +269,20 @@
                     EndKind::Failed => instance.health.note_failure(now, &end.task.job),
                     EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => {}
                 }
-                found.push(WorkerEvent::Ended(id.clone(), end));
+                events.push(WorkerEvent::Ended(id.clone(), end));
             }
         }
         if reply.clock < instance.snapshot {
             let (newest, clock) = (instance.snapshot.as_millis(), reply.clock.as_millis());
-            if !std::mem::replace(&mut instance.overtaken, true) {
+            if !std::mem::replace(&mut instance.list_outdated, true) {
                 warn!(worker = &**id, newest_ms = newest as u64, clock_ms = clock as u64; "a list of runs is older than one before");
             }
             metrics::counter!("kelplink_overtaken_lists_total").increment(1);
         } else {
-            instance.overtaken = false;
+            instance.list_outdated = false;
             instance.snapshot = reply.clock;
-            let running = take_running(instance, now, reply.running, reply.clock);
-            found.extend(running);
+            let running = apply_running_list(instance, now, reply.running, reply.clock);
+            events.extend(running);
         }
         if instance.withheld_end.is_some_and(|number| number < instance.last_lease_expiry) {
             instance.withheld_end = None;
@@ -291,11 +292,16 @@
             true => now + POLL_GAP,
             false => now + STORE_PAUSE,
         };
-        found
+        events
     }
 
     /// A worker answers a poll: which of its lives that is, its clock and its lease.
-    fn heard(&mut self, now: Instant, id: &WorkerId, reply: &PollReply) -> Vec<WorkerEvent> {
+    fn note_poll_answer(
+        &mut self,
+        now: Instant,
+        id: &WorkerId,
+        reply: &PollReply,
+    ) -> Vec<WorkerEvent> {
         let Some(instance) = self.instances.get_mut(id) else {
             return Vec::new();
         };
@@ -303,12 +309,12 @@
             self.pacer.note_lost(now);
         }
         let known_instance = instance.instance_start == reply.instance_start;
-        let mut found = match instance.is_other_instance(reply.instance_start) {
-            true => self.restarted(now, id, reply),
+        let mut events = match instance.is_other_instance(reply.instance_start) {
+            true => self.handle_restart(now, id, reply),
             false => Vec::new(),
         };
         let Some(instance) = self.instances.get_mut(id) else {
-            return found;
+            return events;
         };
         instance.instance_start = reply.instance_start.or(instance.instance_start);
         let asked = instance.polling.take();
@@ -325,14 +331,14 @@
             instance.inherit_lease(self.longest_lease.min(WORKER_LEASE));
         }
         let (instance_id, address) = (instance.instance_id(), instance.address());
-        let mut crashed = self.crashes.answered(now, &instance_id);
+        let mut crashed = self.crashes.handle_answer(now, &instance_id);
         if !claimed {
-            found.push(WorkerEvent::Claimed(id.clone()));
+            events.push(WorkerEvent::Claimed(id.clone()));
             let known = |id: &WorkerId| self.instances.contains_key(id);
-            crashed.extend(self.crashes.succeeded(now, address, known));
+            crashed.extend(self.crashes.handle_successor(now, address, known));
         }
-        found.extend(crashed.into_iter().map(WorkerEvent::Crashed));
-        found
+        events.extend(crashed.into_iter().map(WorkerEvent::Crashed));
+        events
     }
 
     /// Ends up to a number are stored: the next poll says so.
@@ -370,7 +376,7 @@
             CallFailure::Refused(WorkerRefusal::Deposed) => {
                 vec![WorkerEvent::Deposed(id.clone())]
             }
-            CallFailure::NothingThere if instance.left(now) => {
+            CallFailure::NothingThere if instance.has_left(now) => {
                 self.end_instance(id, InstanceEnd::Left)
             }
             _ => Vec::new(),
@@ -382,34 +388,36 @@
     /// to count anew.
     pub(crate) fn crash_suspicions(&mut self, now: Instant) -> Vec<WorkerEvent> {
         let silent = |instance: &&mut WorkerInstance| {
-            let since = instance.silent_since.filter(|_| instance.misses >= DOUBTED_MISSES);
-            since.is_some_and(|since| now.saturating_duration_since(since) >= DOUBTED_SILENCE)
+            let since = instance.silent_since.filter(|_| instance.misses >= SUSPECT_MISSES);
+            since.is_some_and(|since| now.saturating_duration_since(since) >= SUSPECT_SILENCE_TIME)
         };
-        let mut found = Vec::new();
+        let mut events = Vec::new();
         for instance in self.instances.values_mut().filter(silent) {
             let new = instance.runs.iter().filter(|(_, run)| run.begun && !run.suspicion_stored);
-            let trials: Vec<(TaskName, SuspectRun)> = new
+            let suspect_runs: Vec<(TaskName, SuspectRun)> = new
                 .filter_map(|(task, run)| Some((task.clone(), instance.suspect_run(run)?)))
                 .collect();
-            for (task, suspect_run) in trials {
+            for (task, suspect_run) in suspect_runs {
                 if let Some(run) = instance.runs.get_mut(&task) {
                     (run.suspicion_stored, run.suspected) = (true, true);
                 }
-                found.push(WorkerEvent::Doubted(task, suspect_run));
+                events.push(WorkerEvent::Doubted(task, suspect_run));
             }
         }
-        found
+        events
     }
 
     /// Runs of workers whose lease is surely over.
     pub(crate) fn expired_runs(&mut self, now: Instant) -> Vec<WorkerEvent> {
-        let (mut found, longest) = (Vec::new(), self.longest_lease);
+        let (mut events, longest) = (Vec::new(), self.longest_lease);
         for instance in self.instances.values_mut() {
-            if instance.runs.is_empty() || !instance.lease_over(now) {
+            if instance.runs.is_empty() || !instance.is_lease_expired(now) {
                 continue;
             }
-            let over =
-                instance.runs.iter().filter(|(_, run)| instance.is_surely_over(run, now, longest));
+            let over = instance
+                .runs
+                .iter()
+                .filter(|(_, run)| instance.has_certainly_ended(run, now, longest));
             let tasks: Vec<TaskName> = over.map(|(task, _)| task.clone()).collect();
             for task in tasks {
                 if let Some(run) = instance.remove_run(&task) {
@@ -423,23 +431,23 @@
                         );
                     }
                     let lost = LostRun::new(task, run, instance.last_answer);
-                    found.push(WorkerEvent::GivenUp(instance.id().clone(), lost, suspect_run));
+                    events.push(WorkerEvent::GivenUp(instance.id().clone(), lost, suspect_run));
                 }
             }
         }
-        found
+        events
     }
 
     /// Workers that are neither registered nor able to run anything any more; once everything from
     /// before this leader's time is over, also those that it has never heard.
     pub(crate) fn remove_vanished(&mut self, now: Instant, settled: bool) -> Vec<WorkerEvent> {
         let gone = |instance: &&WorkerInstance| {
-            let over = if instance.claimed { instance.lease_over(now) } else { settled };
+            let over = if instance.claimed { instance.is_lease_expired(now) } else { settled };
             let expected = instance.misses == 0 && instance.counts(now);
             !instance.registered && !expected && instance.runs.is_empty() && over
         };
         let gone: Vec<WorkerId> =
-            self.instances.values().filter(gone).map(|l| l.id().clone()).collect();
+            self.instances.values().filter(gone).map(|instance| instance.id().clone()).collect();
         gone.iter().flat_map(|id| self.end_instance(id, InstanceEnd::Vanished)).collect()
     }
 
@@ -461,34 +469,34 @@
 fn miss_pause(misses: u32) -> Duration {
     match misses {
         0 | 1 => Duration::ZERO,
-        more => (MISS_PAUSE * (1 << (more - 2).min(4))).min(LONGEST_PAUSE),
+        more => (MISS_PAUSE * (1 << (more - 2).min(4))).min(MAX_MISS_PAUSE),
     }
 }
 
 impl WorkerInstance {
     /// A run on probation that goes on a worker that has not announced that it leaves.
     fn suspect_run(&self, run: &WorkerRun) -> Option<SuspectRun> {
-        let tried = run.probation.is_some() && self.leaves.is_none();
+        let is_suspect = run.probation.is_some() && self.leaves.is_none();
         let (worker, address, instance_start) =
             (self.id().clone(), self.address(), self.instance_start);
-        tried.then_some(SuspectRun { run: run.run, worker, address, instance_start })
+        is_suspect.then_some(SuspectRun { run: run.run, worker, address, instance_start })
     }
 
     /// Whether it has left as announced: unregistered, its time over, and nothing answers there.
-    fn left(&self, now: Instant) -> bool {
+    fn has_left(&self, now: Instant) -> bool {
         !self.registered && self.leaves.is_some_and(|leaves| leaves <= now)
     }
 }
 
 /// Compares a list of what runs with what is known of the worker.
-fn take_running(
+fn apply_running_list(
     instance: &mut WorkerInstance,
     now: Instant,
     running: Vec<RunReport>,
     clock: Duration,
 ) -> Vec<WorkerEvent> {
     let id = instance.id().clone();
-    let mut found = Vec::new();
+    let mut events = Vec::new();
     let (mut work, mut time) = (Duration::ZERO, Duration::ZERO);
     let mut listed = BTreeMap::new();
     for report in running {
@@ -500,7 +508,11 @@
                     run.phase = RunPhase::Running { confirmed: clock };
                 }
                 if run.confirm(now) {
-                    found.push(WorkerEvent::Confirmed(id.clone(), report.task.clone(), report.run));
+                    events.push(WorkerEvent::Confirmed(
+                        id.clone(),
+                        report.task.clone(),
+                        report.run,
+                    ));
                 }
                 if report.percent != run.percent {
                     run.percent = report.percent;
@@ -509,7 +521,7 @@
                 if run.probation.is_some_and(|end| end <= now) {
                     run.probation = None;
                     if run.suspected || run.suspicion_stored {
-                        found.push(WorkerEvent::Survived(report.task, report.run));
+                        events.push(WorkerEvent::Survived(report.task, report.run));
                     }
                 }
                 run.reported_load = report.reported_load;
@@ -518,7 +530,7 @@
                 work += done;
                 time += took;
             }
-            None => found.push(WorkerEvent::Unknown(id.clone(), report)),
+            None => events.push(WorkerEvent::Unknown(id.clone(), report)),
         }
     }
     instance.health.note_work(now, work, time);
@@ -539,8 +551,8 @@
         instance.runs.iter().filter(gone).map(|(task, _)| task.clone()).collect();
     for task in gone {
         if let Some(run) = instance.remove_run(&task) {
-            found.push(WorkerEvent::Lost(id.clone(), LostRun::new(task, run, Some(now))));
+            events.push(WorkerEvent::Lost(id.clone(), LostRun::new(task, run, Some(now))));
         }
     }
-    found
+    events
 }
--- a/src/graph/instances/restart.rs
+++ b/src/graph/instances/restart.rs
@@ -16,13 +16,13 @@
 impl InstanceTable {
     /// Another life answers under the id of a worker. A run that it does not list and that was not surely carried out before
     /// it may still begin there.
-    pub(super) fn restarted(
+    pub(super) fn handle_restart(
         &mut self,
         now: Instant,
         id: &WorkerId,
         reply: &PollReply,
     ) -> Vec<WorkerEvent> {
-        let silent = self.silent_beside(id);
+        let silent = self.other_silences(id);
         let Some(instance) = self.instances.get_mut(id) else {
             return Vec::new();
         };
@@ -30,23 +30,24 @@
         let (listed, other): (RunTable, RunTable) =
             runs.partition(|(task, run)| reply.lists(task, run.run));
         instance.runs = other;
-        let crash = instance.leaves.is_none().then(|| self.crashes.crashed(now, instance, &silent));
+        let crash =
+            instance.leaves.is_none().then(|| self.crashes.note_crash(now, instance, &silent));
         let (other, answered) = (std::mem::take(&mut instance.runs), instance.last_answer);
         *instance = instance.next_instance(now, reply.instance_start);
         for (task, run) in listed {
             instance.add_run(task, run.carried_over(now, reply));
         }
-        let mut found = vec![WorkerEvent::Over(id.clone(), InstanceEnd::Restarted)];
+        let mut events = vec![WorkerEvent::Over(id.clone(), InstanceEnd::Restarted)];
         for (task, run) in other {
             if run.is_of_one_instance() {
-                found.push(WorkerEvent::Lost(id.clone(), LostRun::new(task, run, answered)));
+                events.push(WorkerEvent::Lost(id.clone(), LostRun::new(task, run, answered)));
                 continue;
             }
-            found.push(WorkerEvent::InDoubt(id.clone(), task.clone(), run.run));
+            events.push(WorkerEvent::InDoubt(id.clone(), task.clone(), run.run));
             instance.add_run(task, run.in_doubt(now));
         }
-        found.extend(crash.map(WorkerEvent::Crashed));
-        found
+        events.extend(crash.map(WorkerEvent::Crashed));
+        events
     }
 }
 
--- a/src/graph/job.rs
+++ b/src/graph/job.rs
@@ -226,15 +226,15 @@
             self.share.as_ref().is_none_or(|share| share.holds(&self.shard, *index, count))
         };
         // Begun before the store knows that an earlier run counts no more, its end might be acknowledged later.
-        let settled =
+        let floor_stored =
             |task: &TaskKey| self.progress.floors.get(task) == self.stored_floors.get(task);
-        let noted =
+        let announcement_stored =
             |task: &TaskKey| self.progress.announced.get(task) == self.stored_announced.get(task);
         (0..count)
             .filter(here)
             .map(|index| TaskKey { step: key, index })
             .filter(|task| !self.progress.is_done(task) && !self.live.contains_key(task))
-            .filter(|task| settled(task) && noted(task))
+            .filter(|task| floor_stored(task) && announcement_stored(task))
             .collect()
     }
 
@@ -277,8 +277,8 @@
 
     /// Time from hand-in within which its worth is whole.
     pub fn objective(&self) -> Duration {
-        let chain = self.critical_paths.iter().max().copied().unwrap_or_default();
-        chain.mul_f64(self.rule.slack) + self.rule.target
+        let longest_path = self.critical_paths.iter().max().copied().unwrap_or_default();
+        longest_path.mul_f64(self.rule.slack) + self.rule.target
     }
 
     /// Number of the next start of a task, above all starts of earlier leaders.
--- a/src/graph/jobs.rs
+++ b/src/graph/jobs.rs
@@ -12,7 +12,7 @@
 use crate::graph::crash::{MULTI_CAUSE_CRASH_LIMIT, SuspectRun};
 use crate::graph::exchange::{EndKind, EndReport};
 use crate::graph::job::{GraphJob, GraphState, LiveRun};
-use crate::graph::jobs::crashes::{delay_start, give_up_crashing};
+use crate::graph::jobs::crashes::{delay_start, fail_crashing_job};
 use crate::graph::name::{GraphId, RunNumber, StepKey, TaskKey, TaskName};
 use crate::graph::progress::GraphVerdict;
 use crate::graph::worker_event::LostRun;
@@ -20,7 +20,7 @@
 
 /// Pause before a lasting task that ended is started again, so that one which fails at once does not
 /// take a start each few milliseconds.
-const LASTING_PAUSE: Duration = Duration::from_millis(100);
+const LASTING_RESTART_PAUSE: Duration = Duration::from_millis(100);
 /// Pause before the next try of a task that failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
@@ -45,7 +45,7 @@
 pub struct JobTable {
     jobs: BTreeMap<GraphId, GraphJob>,
     /// Jobs that may have a task to start.
-    open: BTreeSet<GraphId>,
+    schedulable_ids: BTreeSet<GraphId>,
 }
 
 impl JobTable {
@@ -71,40 +71,40 @@
 
     /// Jobs that may have a task to start.
     pub(crate) fn schedulable(&self) -> impl Iterator<Item = &GraphJob> {
-        self.open.iter().filter_map(|id| self.jobs.get(id)).filter(|job| !job.is_over())
+        self.schedulable_ids.iter().filter_map(|id| self.jobs.get(id)).filter(|job| !job.is_over())
     }
 
     /// Adds a job.
     pub(crate) fn insert(&mut self, job: GraphJob) {
         let id = job.spec.id.clone();
         if !job.is_over() {
-            self.open.insert(id.clone());
+            self.schedulable_ids.insert(id.clone());
         }
         self.jobs.insert(id, job);
     }
 
     /// Forgets a job.
     pub(crate) fn remove(&mut self, id: &GraphId) {
-        self.open.remove(id);
+        self.schedulable_ids.remove(id);
         self.jobs.remove(id);
     }
 
     /// A job has nothing to start until something happens to it.
     pub(crate) fn mark_unschedulable(&mut self, id: &GraphId) {
-        self.open.remove(id);
+        self.schedulable_ids.remove(id);
     }
 
     /// A job may have a task to start.
     pub(crate) fn mark_schedulable(&mut self, id: &GraphId) {
         if self.jobs.get(id).is_some_and(|job| !job.is_over()) {
-            self.open.insert(id.clone());
+            self.schedulable_ids.insert(id.clone());
         }
     }
 
     /// Notes that a worker has begun a run of a job: only then does the job wait no more.
     pub(crate) fn note_begun(&mut self, task: &TaskName, evidence: BeginEvidence) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            begin_job(job, task, evidence);
+            mark_begun(job, task, evidence);
         }
     }
 
@@ -133,8 +133,8 @@
         }
         if !job.is_over() {
             effect.changed = keep_checkpoint(job, task.key, checkpoint);
-            effect.stops = rest_of_gang(job, task.key, run);
-            self.open.insert(task.job.clone());
+            effect.stops = other_gang_members(job, task.key, run);
+            self.schedulable_ids.insert(task.job.clone());
         }
         effect
     }
@@ -159,7 +159,7 @@
                 }
                 effect.changed = true;
                 delay_start(job, task, run, now);
-                give_up_crashing(job, task, MULTI_CAUSE_CRASH_LIMIT, unix, &mut effect);
+                fail_crashing_job(job, task, MULTI_CAUSE_CRASH_LIMIT, unix, &mut effect);
             }
             let lasting = job.step(task.key.step).is_some_and(|step| step.lasting);
             if !lasting && job.progress.raise_floor(task.key, run + 1) {
@@ -177,9 +177,9 @@
         held: impl Fn(&GraphJob) -> bool,
     ) -> Vec<GraphId> {
         let mut changed = Vec::new();
-        let open =
+        let open_jobs =
             self.jobs.values_mut().filter(|job| job.inherited && !job.is_over() && held(job));
-        for job in open {
+        for job in open_jobs {
             let unseen: Vec<TaskKey> = job.unseen_tasks();
             let raised =
                 unseen.iter().filter(|task| job.progress.raise_floor(**task, first)).count();
@@ -205,26 +205,26 @@
             return effect;
         };
         let last = job.last_run.entry(task.key).or_default();
-        let begun_again = *last > run;
+        let started_again = *last > run;
         *last = (*last).max(run);
-        begin_job(job, task, BeginEvidence::Ended);
+        mark_begun(job, task, BeginEvidence::Ended);
         if job.live.get(&task.key).is_some_and(|live| live.run == run && live.worker == *worker) {
             job.live.remove(&task.key);
         }
         let Some(step) = job.step(task.key.step).cloned() else {
             return effect;
         };
-        let late = begun_again || !job.progress.counts(&task.key, run);
+        let late = started_again || !job.progress.counts(&task.key, run);
         effect.superseded = late && kind == EndKind::Done && !step.lasting;
         if job.is_over() || job.progress.is_done(&task.key) {
             return effect;
         }
         let suspicion_stored = job.progress.clear_suspect_run(&task.key, run);
-        self.open.insert(task.job.clone());
+        self.schedulable_ids.insert(task.job.clone());
         match kind {
             EndKind::Done if !step.lasting => {
                 note_done(job, task.key, step.gang, step.count);
-                effect.stops = superfluous(job, task.key.step, run);
+                effect.stops = superseded_runs(job, task.key.step, run);
                 effect.changed = true;
                 if job.all_done() {
                     end_job(job, GraphVerdict::Completed, unix);
@@ -236,8 +236,8 @@
                     job.avoided_workers.entry(task.key).or_default().insert(worker.clone());
                 }
                 effect.changed = job.progress.clear_crashes(&task.key);
-                job.not_before.insert(task.key, now + LASTING_PAUSE);
-                effect.stops = rest_of_gang(job, task.key, run);
+                job.not_before.insert(task.key, now + LASTING_RESTART_PAUSE);
+                effect.stops = other_gang_members(job, task.key, run);
             }
             EndKind::Failed => {
                 job.progress.failures.entry(task.key).or_default().insert(run);
@@ -245,9 +245,9 @@
                 job.avoided_workers.entry(task.key).or_default().insert(worker.clone());
                 job.not_before.insert(task.key, now + RETRY_PAUSE);
                 effect.changed = true;
-                effect.stops = rest_of_gang(job, task.key, run);
+                effect.stops = other_gang_members(job, task.key, run);
                 if failed_runs(job, task.key, step.gang) >= job.rule.max_attempts {
-                    effect.stops = all_runs(job);
+                    effect.stops = live_runs(job);
                     end_job(job, GraphVerdict::Failed, unix);
                     effect.urgent = true;
                 }
@@ -258,7 +258,7 @@
             | EndKind::Broken
             | EndKind::Alone => {
                 effect.changed = keep_checkpoint(job, task.key, checkpoint);
-                effect.stops = rest_of_gang(job, task.key, run);
+                effect.stops = other_gang_members(job, task.key, run);
             }
         }
         effect.changed |= suspicion_stored;
@@ -278,11 +278,11 @@
     fn end(&mut self, id: &GraphId, verdict: GraphVerdict, unix: UnixMillis) -> JobEffect {
         let mut effect = JobEffect::default();
         if let Some(job) = self.jobs.get_mut(id).filter(|job| !job.is_over()) {
-            effect.stops = all_runs(job);
+            effect.stops = live_runs(job);
             effect.changed = true;
             effect.urgent = true;
             end_job(job, verdict, unix);
-            self.open.remove(id);
+            self.schedulable_ids.remove(id);
         }
         effect
     }
@@ -313,7 +313,7 @@
     }
 }
 
-fn begin_job(job: &mut GraphJob, task: &TaskName, evidence: BeginEvidence) {
+fn mark_begun(job: &mut GraphJob, task: &TaskName, evidence: BeginEvidence) {
     if !job.progress.begun {
         job.progress.begun = true;
         info!(task:% = task, evidence:?; "job has begun");
@@ -343,7 +343,7 @@
 
 /// Runs of tasks of a step that have succeeded elsewhere. The members of a gang end together, so those
 /// of the run that succeeded need no stop.
-fn superfluous(job: &GraphJob, step: StepKey, run: RunNumber) -> Vec<RunToStop> {
+fn superseded_runs(job: &GraphJob, step: StepKey, run: RunNumber) -> Vec<RunToStop> {
     let gang = job.step(step).is_some_and(|step| step.gang);
     let unwanted = |(key, live): &(&TaskKey, &LiveRun)| {
         key.step == step && job.progress.is_done(key) && !(gang && live.run == run)
@@ -353,7 +353,7 @@
 }
 
 /// The other members of a gang one of whose members has ended.
-fn rest_of_gang(job: &GraphJob, task: TaskKey, run: RunNumber) -> Vec<RunToStop> {
+fn other_gang_members(job: &GraphJob, task: TaskKey, run: RunNumber) -> Vec<RunToStop> {
     if !job.step(task.step).is_some_and(|step| step.gang) {
         return Vec::new();
     }
@@ -361,7 +361,7 @@
     members.map(|(key, live)| (live.worker.clone(), job.task_name(*key), live.run)).collect()
 }
 
-fn all_runs(job: &GraphJob) -> Vec<RunToStop> {
+fn live_runs(job: &GraphJob) -> Vec<RunToStop> {
     let live = job.live.iter();
     live.map(|(key, live)| (live.worker.clone(), job.task_name(*key), live.run)).collect()
 }
--- a/src/graph/jobs/crashes.rs
+++ b/src/graph/jobs/crashes.rs
@@ -7,10 +7,10 @@
 
 use crate::graph::crash::{
     CORRELATED_CRASH_LIMIT, CrashCount, CrashSuspect, MULTI_CAUSE_CRASH_LIMIT, SuspectRun,
-    pause_after,
+    restart_delay,
 };
 use crate::graph::job::GraphJob;
-use crate::graph::jobs::{JobEffect, JobTable, all_runs, end_job};
+use crate::graph::jobs::{JobEffect, JobTable, end_job, live_runs};
 use crate::graph::name::{RunNumber, TaskKey, TaskName};
 use crate::graph::progress::GraphVerdict;
 use crate::id::UnixMillis;
@@ -43,7 +43,7 @@
             true => limit.max(MULTI_CAUSE_CRASH_LIMIT),
             false => limit.max(CORRELATED_CRASH_LIMIT),
         };
-        give_up_crashing(job, task, limit, unix, &mut effect);
+        fail_crashing_job(job, task, limit, unix, &mut effect);
         effect
     }
 
@@ -159,7 +159,7 @@
 pub(super) fn delay_start(job: &mut GraphJob, task: &TaskName, run: RunNumber, now: Instant) {
     let count = crash_count(job, task.key);
     let settled = job.live.get(&task.key).is_none_or(|live| live.run == run);
-    if let Some(pause) = pause_after(task, run, &count)
+    if let Some(pause) = restart_delay(task, run, &count)
         && settled
     {
         job.not_before.insert(task.key, now + pause);
@@ -167,7 +167,7 @@
 }
 
 /// Ends a job one of whose tasks has crashed too many workers.
-pub(super) fn give_up_crashing(
+pub(super) fn fail_crashing_job(
     job: &mut GraphJob,
     task: &TaskName,
     limit: usize,
@@ -176,14 +176,14 @@
 ) {
     let count = crash_count(job, task.key);
     let CrashCount { sure, proven, begun, all } = count;
-    let given_up = count.is_too_many(limit);
+    let given_up = count.exceeds_limit(limit);
     info!(task:% = task, sure, proven, begun, all, limit, given_up; "workers have crashed under a task, or may have");
     if !given_up {
         return;
     }
     warn!(task:% = task, sure, all, limit; "a task that crashes its workers is given up");
     metrics::counter!("kelplink_crashing_jobs_total").increment(1);
-    effect.stops = all_runs(job);
+    effect.stops = live_runs(job);
     effect.urgent = true;
     end_job(job, GraphVerdict::Failed, unix);
 }
--- a/src/graph/notice.rs
+++ b/src/graph/notice.rs
@@ -56,22 +56,22 @@
     }
 
     /// Takes notices to send, at most as many as there is room for.
-    pub(crate) fn take_sent(&mut self, room: &mut usize) -> Vec<(GraphId, ShardId, NoticeKind)> {
-        take_some(&mut self.sent, room)
+    pub(crate) fn take_sent(&mut self, limit: &mut usize) -> Vec<(GraphId, ShardId, NoticeKind)> {
+        pop_up_to(&mut self.sent, limit)
     }
 
     /// Takes notices to remove, at most as many as there is room for.
-    pub(crate) fn take_settled(&mut self, room: &mut usize) -> Vec<(GraphId, NoticeKind)> {
-        take_some(&mut self.settled, room)
+    pub(crate) fn take_settled(&mut self, limit: &mut usize) -> Vec<(GraphId, NoticeKind)> {
+        pop_up_to(&mut self.settled, limit)
     }
 }
 
-fn take_some<T: Ord>(from: &mut BTreeSet<T>, room: &mut usize) -> Vec<T> {
+fn pop_up_to<T: Ord>(from: &mut BTreeSet<T>, limit: &mut usize) -> Vec<T> {
     let mut taken = Vec::new();
-    while *room > 0
+    while *limit > 0
         && let Some(first) = from.pop_first()
     {
-        *room -= 1;
+        *limit -= 1;
         taken.push(first);
     }
     taken
--- a/src/graph/poll_pacer.rs
+++ b/src/graph/poll_pacer.rs
@@ -15,13 +15,13 @@
 /// late.
 const BUSY_WAIT: Duration = Duration::from_millis(500);
 /// Polls a second that a leader spends on noticing that: with more workers each poll waits longer.
-const BUSY_POLLS: u32 = 80;
+const BUSY_POLLS_PER_SECOND: u32 = 80;
 /// The same two where polls are being lost, so that the next lost one is noticed sooner.
 const LOSSY_WAIT: Duration = Duration::from_millis(100);
-const LOSSY_POLLS: u32 = 400;
+const LOSSY_POLLS_PER_SECOND: u32 = 400;
 /// Polls that were lost at workers which answered the next, within a time, from which more are expected.
-const LOSSY_COUNT: usize = 3;
-const LOSSY_MEMORY: Duration = Duration::from_secs(3);
+const LOSS_COUNT: usize = 3;
+const LOSS_WINDOW: Duration = Duration::from_secs(3);
 
 /// Polls that were lost of late, and how long the next wait for it.
 #[derive(Debug, Default)]
@@ -34,7 +34,7 @@
     /// A worker answers after a single poll that it did not.
     pub(crate) fn note_lost(&mut self, now: Instant) {
         self.lost.push_back(now);
-        if self.lost.len() > LOSSY_COUNT {
+        if self.lost.len() > LOSS_COUNT {
             self.lost.pop_front();
         }
     }
@@ -42,16 +42,16 @@
     /// How long polls wait at a worker with runs among a number of workers.
     pub(crate) fn busy_wait(&self, now: Instant, workers: usize) -> Duration {
         let workers = u32::try_from(workers).unwrap_or(u32::MAX);
-        let (polls, least) = match self.is_lossy(now) {
-            true => (LOSSY_POLLS, LOSSY_WAIT),
-            false => (BUSY_POLLS, BUSY_WAIT),
+        let (polls, min_wait) = match self.is_lossy(now) {
+            true => (LOSSY_POLLS_PER_SECOND, LOSSY_WAIT),
+            false => (BUSY_POLLS_PER_SECOND, BUSY_WAIT),
         };
-        (Duration::from_secs(1) * workers / polls).clamp(least, IDLE_WAIT)
+        (Duration::from_secs(1) * workers / polls).clamp(min_wait, IDLE_WAIT)
     }
 
     /// Whether polls are being lost at workers that answer others.
     fn is_lossy(&self, now: Instant) -> bool {
-        let first = self.lost.front().filter(|_| self.lost.len() == LOSSY_COUNT);
-        first.is_some_and(|at| now.saturating_duration_since(*at) < LOSSY_MEMORY)
+        let first = self.lost.front().filter(|_| self.lost.len() == LOSS_COUNT);
+        first.is_some_and(|at| now.saturating_duration_since(*at) < LOSS_WINDOW)
     }
 }
--- a/src/graph/progress.rs
+++ b/src/graph/progress.rs
@@ -88,8 +88,8 @@
     pub fn confirm_run(&mut self, task: TaskKey, run: RunNumber) -> bool {
         let crashed = self.crashes.get(&task).is_some_and(|runs| runs.contains_key(&run));
         let mut trials = self.trials.get(&task).into_iter().flatten();
-        let kept = crashed || trials.any(|suspect_run| suspect_run.run == run);
-        kept && self.confirmed.entry(task).or_default().insert(run)
+        let suspect = crashed || trials.any(|suspect_run| suspect_run.run == run);
+        suspect && self.confirmed.entry(task).or_default().insert(run)
     }
 
     /// Whether a run under which a worker has crashed, or may have, had surely begun.
@@ -113,9 +113,9 @@
         let Some(trials) = self.trials.get_mut(task) else {
             return false;
         };
-        let before = trials.len();
+        let count_before = trials.len();
         trials.retain(|suspect_run| suspect_run.run != run);
-        let cleared = trials.len() < before;
+        let cleared = trials.len() < count_before;
         if trials.is_empty() {
             self.trials.remove(task);
         }
--- a/src/graph/remote_workers.rs
+++ b/src/graph/remote_workers.rs
@@ -9,7 +9,7 @@
 
 use crate::graph::exchange::WorkerRegistration;
 use crate::graph::home::can_run_on;
-use crate::graph::instances::RETURN_TIME;
+use crate::graph::instances::REREGISTRATION_TIME;
 use crate::graph::queue::QueueRule;
 use crate::graph::shard::{ShardId, ShardScope};
 use crate::graph::spec::{GraphSpec, StepSpec};
@@ -17,22 +17,22 @@
 
 /// Workers for each task of a lasting step below which its tasks are shared out: advice allows a third of
 /// the workers, and half of these have other work of the same urgency.
-const WORKERS_A_TASK: usize = 5;
+const WORKERS_PER_TASK: usize = 5;
 /// Shards that a job is shared among at most: each has to store it.
-const MOST_SHARES: usize = 16;
+const MAX_SHARES: usize = 16;
 
 /// Registrations of workers that other leaders have.
 #[derive(Debug, Default)]
 pub(crate) struct RemoteWorkerTable {
     workers: BTreeMap<WorkerId, (ShardId, WorkerRegistration)>,
     /// Those that are gone and may come back, and until when they count.
-    lapsed: BTreeMap<WorkerId, (Instant, ShardId, WorkerRegistration)>,
+    expired: BTreeMap<WorkerId, (Instant, ShardId, WorkerRegistration)>,
 }
 
 impl RemoteWorkerTable {
     /// A worker of another shard has registered or changed its registration.
     pub(crate) fn register(&mut self, shard: ShardId, registration: WorkerRegistration) {
-        self.lapsed.remove(&registration.id);
+        self.expired.remove(&registration.id);
         self.workers.insert(registration.id.clone(), (shard, registration));
     }
 
@@ -41,19 +41,19 @@
         if let Some((shard, registration)) = self.workers.remove(id)
             && registration.leaving.is_none()
         {
-            self.lapsed.insert(id.clone(), (now + RETURN_TIME, shard, registration));
+            self.expired.insert(id.clone(), (now + REREGISTRATION_TIME, shard, registration));
         }
     }
 
     /// Forgets workers whose registrations have not come back.
     pub(crate) fn forget_expired(&mut self, now: Instant) {
-        self.lapsed.retain(|_, (until, ..)| now < *until);
+        self.expired.retain(|_, (until, ..)| now < *until);
     }
 
     /// Workers that count, and their shards.
-    fn counted(&self) -> impl Iterator<Item = (&ShardId, &WorkerRegistration)> {
+    fn known_workers(&self) -> impl Iterator<Item = (&ShardId, &WorkerRegistration)> {
         let present = self.workers.values().map(|(shard, registration)| (shard, registration));
-        present.chain(self.lapsed.values().map(|(_, shard, registration)| (shard, registration)))
+        present.chain(self.expired.values().map(|(_, shard, registration)| (shard, registration)))
     }
 
     /// The shard that a job is better placed in than here: the one with most of its data, or else one with
@@ -73,9 +73,9 @@
         };
         spec.steps.iter().find(lacks)?;
         let shards = scope.plan.shards();
-        let whole =
+        let has_all_workers =
             |shard: &&ShardId| spec.steps.iter().all(|step| self.count(shard, step, rule) > 0);
-        shards.iter().filter(|shard| **shard != scope.shard).find(whole).cloned()
+        shards.iter().filter(|shard| **shard != scope.shard).find(has_all_workers).cloned()
     }
 
     /// The shard whose racks most tasks of a job have their data in.
@@ -92,7 +92,7 @@
             };
             let here = own.clone().any(|registration| registration.rack == *rack);
             let elsewhere = || {
-                let mut workers = self.counted();
+                let mut workers = self.known_workers();
                 workers
                     .find(|(_, registration)| registration.rack == *rack)
                     .map(|(shard, _)| shard.clone())
@@ -120,13 +120,13 @@
             return None;
         }
         let here = own.filter(|registration| can_run_on(widest, rule, registration)).count();
-        if here >= widest.count as usize * WORKERS_A_TASK {
+        if here >= widest.count as usize * WORKERS_PER_TASK {
             return None;
         }
         let mut weights = vec![(scope.shard.clone(), here)];
         for shard in scope.plan.shards().into_iter().filter(|shard| *shard != scope.shard) {
             let count = self.count(&shard, widest, rule);
-            if count > 0 && weights.len() < MOST_SHARES {
+            if count > 0 && weights.len() < MAX_SHARES {
                 weights.push((shard, count));
             }
         }
@@ -134,7 +134,7 @@
     }
 
     fn count(&self, shard: &ShardId, step: &StepSpec, rule: &QueueRule) -> usize {
-        let here = self.counted().filter(|(place, _)| *place == shard);
+        let here = self.known_workers().filter(|(other, _)| *other == shard);
         here.filter(|(_, registration)| can_run_on(step, rule, registration)).count()
     }
 }
--- a/src/graph/shard.rs
+++ b/src/graph/shard.rs
@@ -17,12 +17,12 @@
 
 /// Workers that a leader carries for each core that its machine has: a leader of 350 workers used 0.17 of its
 /// half core on the mean of a day with bursts of 700 starts a second, and all of it in a burst.
-const WORKERS_A_CORE: f64 = 800.0;
+const WORKERS_PER_CORE: f64 = 800.0;
 /// Workers of a shard at least, whatever its leader's machine: of two kinds of workers, of which advice allows
 /// a third, a step has 16 to choose from. In shards of 33 gangs of four waited for good on five days of seven.
-const LEAST_SHARD: usize = 100;
+const MIN_SHARD_SIZE: usize = 100;
 /// Separates a failure domain from the number of a share of its racks.
-const PART_MARK: char = '.';
+const PART_SEPARATOR: char = '.';
 
 /// The division of a deployment's workers; it is stored once, and all entries follow it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
@@ -44,15 +44,15 @@
     }
 
     /// The division for workers counted by failure domain, where the best machines have `processor` cores.
-    pub fn for_fleet(workers: &BTreeMap<DomainId, usize>, processor: f64) -> Self {
-        let carried = (WORKERS_A_CORE * processor).max(1.0) as usize;
-        let smallest = workers.values().min().copied().unwrap_or_default();
-        if workers.values().sum::<usize>() <= carried || smallest < LEAST_SHARD {
+    pub fn for_fleet(workers: &BTreeMap<DomainId, usize>, cores: f64) -> Self {
+        let leader_capacity = (WORKERS_PER_CORE * cores).max(1.0) as usize;
+        let smallest_domain = workers.values().min().copied().unwrap_or_default();
+        if workers.values().sum::<usize>() <= leader_capacity || smallest_domain < MIN_SHARD_SIZE {
             return Self::undivided();
         }
         let parts = |count: &usize| {
-            let most = count / LEAST_SHARD;
-            u32::try_from(count.div_ceil(carried).clamp(1, most)).unwrap_or(1)
+            let max_parts = count / MIN_SHARD_SIZE;
+            u32::try_from(count.div_ceil(leader_capacity).clamp(1, max_parts)).unwrap_or(1)
         };
         let domains = workers.iter().map(|(domain, count)| (domain.clone(), parts(count)));
         Self::by_domain(domains.collect())
@@ -78,8 +78,8 @@
     /// The shard of a rack. Workers of a failure domain that came later than the division belong to any.
     pub fn shard_of(&self, domain: &DomainId, rack: &RackId) -> ShardId {
         match self.domains.get(domain) {
-            Some(parts) => shard_name(domain, *parts, spread(rack, *parts)),
-            None => self.any_shard(domain),
+            Some(parts) => shard_name(domain, *parts, hash_bucket(rack, *parts)),
+            None => self.fallback_shard(domain),
         }
     }
 
@@ -96,10 +96,11 @@
     pub fn shard_order(&self, domain: &DomainId, job: &GraphId) -> Vec<ShardId> {
         let mut shards = self.shards();
         let count = u32::try_from(shards.len()).unwrap_or(1);
-        shards.rotate_left(spread(job, count) as usize);
-        let away =
-            |shard: &ShardId| self.domain_and_index(shard).is_none_or(|(place, _)| place != domain);
-        shards.sort_by_key(away);
+        shards.rotate_left(hash_bucket(job, count) as usize);
+        let is_remote = |shard: &ShardId| {
+            self.domain_and_index(shard).is_none_or(|(shard_domain, _)| shard_domain != domain)
+        };
+        shards.sort_by_key(is_remote);
         shards
     }
 
@@ -107,30 +108,33 @@
     /// advisor answers one call of a machine at a time.
     pub fn is_advised_by(&self, shard: &ShardId, entry: &EntryId, domain: &DomainId) -> bool {
         match self.domain_and_index(shard) {
-            Some((place, part)) => {
-                place == domain
-                    && self.domains.get(place).is_some_and(|n| spread(entry, *n) == part)
+            Some((shard_domain, part)) => {
+                shard_domain == domain
+                    && self
+                        .domains
+                        .get(shard_domain)
+                        .is_some_and(|n| hash_bucket(entry, *n) == part)
             }
             None => true,
         }
     }
 
-    fn any_shard(&self, domain: &DomainId) -> ShardId {
+    fn fallback_shard(&self, domain: &DomainId) -> ShardId {
         let shards = self.shards();
         let count = u32::try_from(shards.len()).unwrap_or(1);
-        shards[spread(domain, count) as usize].clone()
+        shards[hash_bucket(domain, count) as usize].clone()
     }
 }
 
 fn shard_name(domain: &DomainId, parts: u32, part: u32) -> ShardId {
     match parts {
         1 => domain.clone(),
-        _ => format!("{domain}{PART_MARK}{part}").into(),
+        _ => format!("{domain}{PART_SEPARATOR}{part}").into(),
     }
 }
 
 /// A number below `count` that follows from a name alone.
-fn spread(name: &str, count: u32) -> u32 {
+fn hash_bucket(name: &str, count: u32) -> u32 {
     let hash = blake3::hash(name.as_bytes());
     let [a, b, c, d, ..] = *hash.as_bytes();
     u32::from_be_bytes([a, b, c, d]) % count.max(1)
--- a/src/graph/share.rs
+++ b/src/graph/share.rs
@@ -5,7 +5,7 @@
 use crate::graph::shard::ShardId;
 
 /// Shares are told in parts of a step's tasks, so that they hold for steps of any number of tasks.
-const WHOLE: u32 = 10_000;
+const SHARE_SCALE: u32 = 10_000;
 
 /// A shard's part of all tasks, from one place to before another, out of 10,000.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -32,16 +32,16 @@
 impl TaskShare {
     /// Shares the tasks out by weights, of which there is at least one above 0.
     pub fn new(owner: ShardId, weights: &[(ShardId, usize)]) -> Self {
-        let all = weights.iter().map(|(_, weight)| *weight as u64).sum::<u64>().max(1);
-        let mut before = 0;
-        let mut place = |weight: usize| {
-            before += weight as u64;
-            u32::try_from(before * u64::from(WHOLE) / all).unwrap_or(WHOLE)
+        let total_weight = weights.iter().map(|(_, weight)| *weight as u64).sum::<u64>().max(1);
+        let mut weight_sum = 0;
+        let mut range_end = |weight: usize| {
+            weight_sum += weight as u64;
+            u32::try_from(weight_sum * u64::from(SHARE_SCALE) / total_weight).unwrap_or(SHARE_SCALE)
         };
         let mut from = 0;
         let mut ranges = Vec::with_capacity(weights.len());
         for (shard, weight) in weights.iter().filter(|(_, weight)| *weight > 0) {
-            let to = place(*weight);
+            let to = range_end(*weight);
             ranges.push(ShareRange { shard: shard.clone(), from, to });
             from = to;
         }
@@ -50,7 +50,7 @@
 
     /// Whether a shard runs the task with a number among `count`.
     pub fn holds(&self, shard: &ShardId, index: u32, count: u32) -> bool {
-        let place = u64::from(index) * u64::from(WHOLE) / u64::from(count.max(1));
+        let place = u64::from(index) * u64::from(SHARE_SCALE) / u64::from(count.max(1));
         let covers = |range: &ShareRange| {
             u64::from(range.from) <= place && place < u64::from(range.to) && range.shard == *shard
         };
--- a/src/graph/worker.rs
+++ b/src/graph/worker.rs
@@ -18,13 +18,13 @@
 /// Thousandths by which a worker's clock may be slow; from the platform's contract (2%).
 const SLOW_CLOCK_PERMILLE: u32 = 20;
 /// Added to a lease before it counts as over: what was killed may take this long to be gone.
-const LAPSE_MARGIN: Duration = Duration::from_millis(150);
+const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(150);
 
 /// Share done, in percent, from which a run's speed can be told.
-const LEAST_PERCENT: u32 = 10;
+const MIN_PROGRESS_PERCENT: u32 = 10;
 
 /// Shortest time over which progress is measured: it is told in whole percent.
-const LEAST_MEASURE: Duration = Duration::from_millis(250);
+const MIN_MEASURE_TIME: Duration = Duration::from_millis(250);
 
 /// Why a life of a worker counts as over.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -69,7 +69,7 @@
     /// Room that it takes.
     pub need: ResourceVector,
     /// Whether its room is known: not that of a run of a job that this leader does not know.
-    pub sized: bool,
+    pub demand_known: bool,
     /// How far it has come.
     pub phase: RunPhase,
     /// When it was started or first seen.
@@ -79,7 +79,7 @@
     /// The same, where its progress tells the worker's speed.
     pub estimate: Option<Duration>,
     /// Share done in percent, and when it was measured for the worker's speed.
-    pub measured: (u32, Instant),
+    pub last_measurement: (u32, Instant),
     /// Share done in percent, and when it last rose.
     pub percent: u32,
     /// When the share done last rose.
@@ -135,7 +135,7 @@
     /// Whether it is registered now.
     pub registered: bool,
     /// Until when it counts as one that registers again, where its registration has gone.
-    pub expected_until: Option<Instant>,
+    pub reregistration_deadline: Option<Instant>,
     /// When it will be gone at the earliest, where it is leaving.
     pub leaves: Option<Instant>,
     /// Whether it has answered under this leader's epoch.
@@ -147,7 +147,7 @@
     /// Newest list of runs, by the worker's clock.
     pub snapshot: Duration,
     /// Whether the last list was older than that.
-    pub(crate) overtaken: bool,
+    pub(crate) list_outdated: bool,
     /// Latest end of its lease that was sent, on its clock.
     pub lease: Option<Duration>,
     /// End of its lease that was sent with the poll that is not answered.
@@ -183,7 +183,7 @@
     /// All runs that take room.
     pub runs: BTreeMap<TaskName, WorkerRun>,
     /// Whether the room of any of them is not known.
-    obscure: bool,
+    has_unknown_demand: bool,
     used: ResourceVector,
 }
 
@@ -196,16 +196,16 @@
         origin: Option<(&GraphJob, &StepSpec)>,
     ) -> Self {
         let step = origin.map(|(_, step)| step);
-        let is = |test: fn(&StepSpec) -> bool| step.is_some_and(test);
+        let has = |test: fn(&StepSpec) -> bool| step.is_some_and(test);
         Self {
             run,
             need: step.map(StepSpec::reservation).unwrap_or_default(),
-            sized: step.is_some(),
+            demand_known: step.is_some(),
             phase,
             since: now,
             declared_run_time: step.filter(|step| !step.lasting).map(|step| step.estimate),
-            estimate: step.filter(|step| tells_speed(step)).map(|step| step.estimate),
-            measured: (0, now),
+            estimate: step.filter(|step| indicates_speed(step)).map(|step| step.estimate),
+            last_measurement: (0, now),
             percent: 0,
             progressed_at: now,
             reported_load: step
@@ -213,9 +213,9 @@
                 .map_or(0, |step| step.need.millicores),
             checkpoint: String::new(),
             priority: origin.map_or(0, |(job, _)| job.rule.priority),
-            best_effort: is(|step| step.best_effort),
-            preemptible: is(|step| !step.gang && !step.lasting),
-            keeps_checkpoint: is(|step| step.checkpoints),
+            best_effort: has(|step| step.best_effort),
+            preemptible: has(|step| !step.gang && !step.lasting),
+            keeps_checkpoint: has(|step| step.checkpoints),
             target: step.and_then(|step| step.target),
             image: step.and_then(|step| step.image.clone()),
             throttle: 100,
@@ -234,7 +234,7 @@
 
 /// Whether the progress of a step's tasks tells their worker's speed: not where they wait for each other
 /// or live on what others leave over.
-fn tells_speed(step: &StepSpec) -> bool {
+fn indicates_speed(step: &StepSpec) -> bool {
     !(step.lasting || step.best_effort || step.gang || step.estimate.is_zero())
 }
 
@@ -243,12 +243,12 @@
     /// and the time that it took.
     pub(crate) fn measure(&mut self, now: Instant) -> Option<(Duration, Duration)> {
         let estimate = self.estimate?;
-        let (percent, at) = self.measured;
+        let (percent, at) = self.last_measurement;
         let time = now.saturating_duration_since(at);
-        if time < LEAST_MEASURE {
+        if time < MIN_MEASURE_TIME {
             return None;
         }
-        self.measured = (self.percent, now);
+        self.last_measurement = (self.percent, now);
         Some((estimate * self.percent.saturating_sub(percent) / 100, time))
     }
 
@@ -273,7 +273,7 @@
     pub fn expected_end(&self, estimate: Duration) -> Instant {
         let worked = self.progressed_at.saturating_duration_since(self.since);
         match self.percent {
-            percent if percent >= LEAST_PERCENT => self.since + worked * 100 / percent,
+            percent if percent >= MIN_PROGRESS_PERCENT => self.since + worked * 100 / percent,
             _ => self.since + estimate,
         }
     }
@@ -284,16 +284,16 @@
     pub fn new(registration: WorkerRegistration, now: Instant) -> Self {
         Self {
             instance_start: None,
-            leaves: registration.leaving.map(|left| now + left),
+            leaves: registration.leaving.map(|time_left| now + time_left),
             registration,
             announced: None,
             registered: true,
-            expected_until: None,
+            reregistration_deadline: None,
             claimed: false,
             in_store: false,
             clock: None,
             snapshot: Duration::ZERO,
-            overtaken: false,
+            list_outdated: false,
             lease: None,
             offered_lease_end: None,
             granted_lease_end: None,
@@ -311,7 +311,7 @@
             excluded_until: None,
             health: WorkerHealth::default(),
             runs: BTreeMap::new(),
-            obscure: false,
+            has_unknown_demand: false,
             used: ResourceVector::default(),
         }
     }
@@ -337,7 +337,7 @@
         }
         self.announced = None;
         self.leaves = match registration.leaving {
-            Some(left) => Some(self.leaves.unwrap_or(now + left)),
+            Some(time_left) => Some(self.leaves.unwrap_or(now + time_left)),
             None => None,
         };
         self.registration = registration;
@@ -370,7 +370,7 @@
             instance_start,
             announced: self.announced.clone(),
             registered: self.registered,
-            expected_until: self.expected_until,
+            reregistration_deadline: self.reregistration_deadline,
             leaves: self.leaves,
             claimed: self.claimed,
             in_store: self.in_store,
@@ -417,7 +417,7 @@
     }
 
     /// What its clock surely has reached, whatever its rate.
-    pub fn clock_at_least(&self, now: Instant) -> Option<Duration> {
+    pub fn clock_lower_bound(&self, now: Instant) -> Option<Duration> {
         let (clock, at) = self.clock?;
         let passed = now.saturating_duration_since(at);
         Some(clock + passed * (1_000 - SLOW_CLOCK_PERMILLE) / 1_000)
@@ -428,7 +428,7 @@
         let (clock, at) = self.clock?;
         let since = at.saturating_duration_since(moment);
         if since.is_zero() {
-            self.clock_at_least(moment)
+            self.clock_lower_bound(moment)
         } else {
             Some(clock.saturating_sub(since))
         }
@@ -454,7 +454,7 @@
 
     /// Whether a run that had begun surely went on until its process was gone, as was noticed by `now`: it cannot have ended
     /// unheard before, by itself or with the worker's lease.
-    pub(crate) fn surely_went_on(&self, run: &WorkerRun, now: Instant) -> bool {
+    pub(crate) fn was_certainly_running(&self, run: &WorkerRun, now: Instant) -> bool {
         let gone = self.refused_since.unwrap_or(now);
         let leased = match (self.granted_lease_end, self.clock) {
             (Some(end), Some((clock, at))) => clock + gone.saturating_duration_since(at) < end,
@@ -475,23 +475,28 @@
     }
 
     /// Whether nothing that was started there can still run.
-    pub fn lease_over(&self, now: Instant) -> bool {
-        match (self.lease, self.clock_at_least(now)) {
-            (Some(lease), Some(clock)) => clock > lease + LAPSE_MARGIN,
+    pub fn is_lease_expired(&self, now: Instant) -> bool {
+        match (self.lease, self.clock_lower_bound(now)) {
+            (Some(lease), Some(clock)) => clock > lease + LEASE_EXPIRY_MARGIN,
             _ => false,
         }
     }
 
     /// Whether a run whose start a later life has taken is surely over: that life holds it for the longest lease, whatever end the
     /// start gave by the clock of the life before.
-    pub(crate) fn is_surely_over(&self, run: &WorkerRun, now: Instant, longest: Duration) -> bool {
-        let held = longest * 1_000 / (1_000 - SLOW_CLOCK_PERMILLE) + LAPSE_MARGIN;
+    pub(crate) fn has_certainly_ended(
+        &self,
+        run: &WorkerRun,
+        now: Instant,
+        longest: Duration,
+    ) -> bool {
+        let held = longest * 1_000 / (1_000 - SLOW_CLOCK_PERMILLE) + LEASE_EXPIRY_MARGIN;
         run.taken_by_newer_instance
             .is_none_or(|answered| now.saturating_duration_since(answered) >= held)
     }
 
     /// Number up to which ends may be acknowledged.
-    pub fn acknowledgeable(&self) -> u64 {
+    pub fn highest_ackable_end(&self) -> u64 {
         self.withheld_end
             .map_or(self.last_stored_end, |first| self.last_stored_end.min(first.saturating_sub(1)))
     }
@@ -522,7 +527,7 @@
             && self.leaves.is_none()
             && self.claimed
             && self.in_store
-            && !self.obscure
+            && !self.has_unknown_demand
             && self.misses == 0
             && self.last_poll_answer.is_some()
             && self.excluded_until.is_none_or(|until| until <= now)
@@ -540,7 +545,7 @@
 
     /// Whether it counts where a job is judged: it is registered, or may be again soon.
     pub fn counts(&self, now: Instant) -> bool {
-        self.registered || self.expected_until.is_some_and(|until| now < until)
+        self.registered || self.reregistration_deadline.is_some_and(|until| now < until)
     }
 
     /// Whether it has the label that a step wants.
@@ -551,13 +556,13 @@
     /// Adds a run and takes its room.
     pub fn add_run(&mut self, task: TaskName, run: WorkerRun) {
         self.runs.insert(task, run);
-        self.recount();
+        self.recompute_usage();
     }
 
     /// Removes a run and gives its room back.
     pub fn remove_run(&mut self, task: &TaskName) -> Option<WorkerRun> {
         let removed = self.runs.remove(task);
-        self.recount();
+        self.recompute_usage();
         removed
     }
 
@@ -577,8 +582,8 @@
         self.runs.values().any(|run| run.best_effort)
     }
 
-    fn recount(&mut self) {
-        self.obscure = self.runs.values().any(|run| !run.sized);
+    fn recompute_usage(&mut self) {
+        self.has_unknown_demand = self.runs.values().any(|run| !run.demand_known);
         let needs = self.runs.values().map(|run| run.need);
         self.used = needs.fold(ResourceVector::default(), |sum, need| sum.saturating_add(&need));
     }
