--- a/src/graph/exchange.rs
+++ b/src/graph/exchange.rs
@@ -1,4 +1,4 @@
-//! What a leader and a worker say to each other, as the decisions see it.
+//! Messages between a leader and its workers, as the scheduling logic sees them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,26 +10,26 @@
 use crate::id::{DomainId, RackId, ServiceId, UnixMillis, WorkerId};
 use crate::resources::ResourceVector;
 
-/// When a life of a worker began, by its time of day. Only tells the lives of a worker apart; `None` where the worker does
-/// not say it.
+/// When an instance of a worker started, by the worker's time of day. It only distinguishes the instances of
+/// a worker; `None` where the worker does not send it.
 pub type InstanceStart = Option<UnixMillis>;
 
-/// One life of a worker.
+/// One instance of a worker.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct InstanceId {
     /// The worker.
     pub worker: WorkerId,
-    /// Start of the life; `None` where it is not known.
+    /// Start of the instance; `None` where it is not known.
     pub instance_start: InstanceStart,
 }
 
 impl InstanceId {
-    /// A life of a worker.
+    /// Creates the id of an instance.
     pub fn new(worker: WorkerId, instance_start: InstanceStart) -> Self {
         Self { worker, instance_start }
     }
 
-    /// Whether both are surely different lives of the same worker.
+    /// Whether both are certainly different instances of the same worker.
     pub fn is_other_instance_of(&self, other: &Self) -> bool {
         let starts_differ = self.instance_start.is_some()
             && other.instance_start.is_some()
@@ -38,17 +38,17 @@
     }
 }
 
-/// Allows a step on one worker.
+/// Text of a ticket, which allows a worker to run a step.
 pub type TicketText = Arc<str>;
 
-/// A worker as it registers itself.
+/// Registration of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerRegistration {
-    /// Its name, which it may keep when it starts again.
+    /// Id of the worker, which it may keep across restarts.
     pub id: WorkerId,
-    /// Start of the life that registered, where it says so.
+    /// Start of the instance that registered, where given.
     pub instance_start: InstanceStart,
-    /// Where it answers.
+    /// Address at which it answers.
     pub address: SocketAddr,
     /// Service that it belongs to.
     pub service: ServiceId,
@@ -56,28 +56,28 @@
     pub domain: DomainId,
     /// Rack.
     pub rack: RackId,
-    /// All labels, its kind and rack among them.
+    /// All labels, including its kind and rack.
     pub labels: Vec<Arc<str>>,
-    /// Machine that it runs on, where it says so.
+    /// Machine that it runs on, where given.
     pub machine: Option<MachineId>,
-    /// All that it has.
+    /// Its total capacity.
     pub capacity: ResourceVector,
-    /// Whether it is leaving, and the shortest time that is left.
+    /// Shortest remaining time of a worker that is leaving; `None` for any other.
     pub leaving: Option<Duration>,
 }
 
-/// A worker that may run something, as the store keeps it for the next leader.
+/// A worker that may run tasks, as stored for the next leader.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 pub struct UsedWorker {
-    /// Its name.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// Where it answers.
+    /// Address at which it answers.
     pub address: SocketAddr,
     /// Failure domain; empty where it is not known.
     #[serde(default = "unknown_domain")]
     pub domain: DomainId,
-    /// Start of the life that was heard last.
+    /// Start of the instance that answered last.
     #[serde(rename = "born")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub instance_start: InstanceStart,
@@ -96,9 +96,9 @@
     pub run: RunNumber,
     /// Last checkpoint; empty where there is none.
     pub checkpoint: String,
-    /// Share of its work that is done; 100 for a lasting task that is at work.
+    /// Progress in percent; 100 for a lasting task that is working.
     pub percent: u32,
-    /// Tail latency in milliseconds of a task that serves, processors in use of any other.
+    /// Tail latency in milliseconds for a task that serves requests, processors in use for any other.
     pub reported_load: u32,
 }
 
@@ -107,7 +107,7 @@
 pub enum EndKind {
     /// It succeeded.
     Done,
-    /// It failed, by its own fault or the worker's.
+    /// It failed, through the task or the worker.
     Failed,
     /// It was stopped by command.
     Stopped,
@@ -115,14 +115,14 @@
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// It waited in vain for the other members of its gang.
+    /// The other members of its gang did not arrive in time.
     Alone,
 }
 
 /// A run that a worker lists as ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EndReport {
-    /// Number of the end in this life of the worker.
+    /// Number of the end, counted per instance of the worker.
     pub number: u64,
     /// The task.
     pub task: TaskName,
@@ -137,18 +137,18 @@
 /// A worker's answer to a poll.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PollReply {
-    /// Start of the life that answers.
+    /// Start of the instance that answers.
     pub instance_start: InstanceStart,
-    /// The worker's steady clock.
+    /// The worker's monotonic clock.
     pub clock: Duration,
-    /// All that runs.
+    /// All running tasks.
     pub running: Vec<RunReport>,
-    /// Ends above the acknowledged one, oldest first; not necessarily all.
+    /// Ends after the acknowledged one, oldest first; possibly not all of them.
     pub ended: Vec<EndReport>,
 }
 
 impl PollReply {
-    /// Whether a run of a task is on one of its lists.
+    /// Whether a run of a task is listed as running or ended.
     pub(crate) fn lists(&self, task: &TaskName, run: RunNumber) -> bool {
         let runs = |report: &RunReport| report.task == *task && report.run == run;
         let ended = |end: &EndReport| end.task == *task && end.run == run;
@@ -156,31 +156,31 @@
     }
 }
 
-/// Why a worker refused a call; it has done nothing.
+/// Why a worker refused a call; a refused call has no effect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum WorkerRefusal {
-    /// It has seen a higher epoch: another leads.
+    /// It has seen a higher epoch: another leader was elected.
     Deposed,
     /// This run, or a later one, was stopped or ended there.
     OldRun,
-    /// The time that the call was good for has passed.
+    /// The call was no longer valid when it arrived.
     Late,
-    /// It has no room.
+    /// It lacks the capacity.
     NoRoom,
     /// The ticket is missing, wrong or too old.
     Ticket,
-    /// It is another life of the worker.
+    /// Another instance of the worker received the call.
     OtherLife,
-    /// It is not well.
+    /// It reports itself as unhealthy.
     Unwell,
-    /// It does not understand the call.
+    /// It cannot parse the call or finds it invalid.
     Invalid,
 }
 
 /// How a call to a worker failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CallFailure {
-    /// It surely did not arrive.
+    /// It certainly did not arrive.
     NotSent,
     /// Nothing listens at the worker's address any more.
     NothingThere,
--- a/src/graph/instances.rs
+++ b/src/graph/instances.rs
@@ -1,4 +1,4 @@
-//! All workers of a leader: polls, leases, and what their answers say of runs.
+//! All workers of a leader: their polls, their leases, and the events that follow from their answers.
 
 mod restart;
 
@@ -21,31 +21,34 @@
 use crate::graph::worker_event::{LostRun, WorkerEvent};
 use crate::id::WorkerId;
 
-/// How long what runs at a worker goes on without another call. A worker that dies holds its tasks
-/// for that long; a leader that dies must be replaced within it.
+/// Lease of a worker, within which its tasks run on without another call. A worker that dies holds its tasks
+/// for this long; a leader that dies must be replaced within it.
 pub(crate) const WORKER_LEASE: Duration = Duration::from_millis(4_500);
-/// Pause before the next poll while ends wait for the store.
+/// Pause before the next poll while run ends wait for the store.
 const STORE_PAUSE: Duration = Duration::from_millis(250);
-/// Pause before the next poll of a worker that lists an end for good: it answers each at once.
+/// Pause before the next poll of a worker that lists an unacknowledged end for good, and therefore answers
+/// each poll at once.
 const WITHHELD_PAUSE: Duration = Duration::from_millis(250);
-/// How long after a list the life that gave it counts as the one that the next poll reaches. A worker does not start again,
-/// and a task does not begin and end there, within that time.
+/// How long after an answered poll the next poll is assumed to reach the same instance. A worker does not
+/// restart, and a task does not begin and end there, within this time.
 const SAME_INSTANCE_TIME: Duration = Duration::from_millis(300);
-/// Pause after the second poll in a row without an answer, doubled with each up to the longest. After the
-/// first there is none: a single poll that was lost says nothing of the worker.
+/// Pause after the second consecutive poll without an answer, doubled with each further one up to
+/// `MAX_MISS_PAUSE`. There is no pause after the first, since a single lost poll says nothing about the
+/// worker.
 const MISS_PAUSE: Duration = Duration::from_millis(100);
 /// Longest pause after polls without an answer.
 const MAX_MISS_PAUSE: Duration = Duration::from_millis(800);
-/// A worker that has not answered for this long is given no new work.
+/// A worker that has not answered for this long gets no new work.
 pub(crate) const SILENCE_LIMIT: Duration = Duration::from_millis(1_900);
-/// Calls in a row without an answer, and time since the first, from which the runs on probation at a worker are kept
-/// in the store: of the polls one in twenty may be lost.
+/// Number of consecutive calls without an answer, and time since the first of them, after which the runs on
+/// probation at a worker are recorded in the store. One poll in twenty may be lost.
 const SUSPECT_MISSES: u32 = 2;
 const SUSPECT_SILENCE_TIME: Duration = Duration::from_millis(100);
-/// How long a worker whose registration has gone counts on where a job is judged: registrations that expired while the
-/// store was away are back two seconds after it, and the watch tells of them later.
+/// How long a worker whose registration has gone still counts when a job is checked against the workers.
+/// Registrations that expired while the store was away are back two seconds after it, and the watch reports
+/// them later.
 pub(crate) const REREGISTRATION_TIME: Duration = Duration::from_millis(2_500);
-/// Shortest time from one poll to the next: ends that come close together share an answer.
+/// Shortest time from one poll to the next, so that ends close together share an answer.
 const POLL_GAP: Duration = Duration::from_millis(15);
 
 /// All workers.
@@ -54,22 +57,22 @@
     instances: BTreeMap<WorkerId, WorkerInstance>,
     crashes: CrashTable,
     pacer: PollPacer,
-    /// Longest lease that a worker takes.
+    /// Longest lease that a worker accepts.
     longest_lease: Duration,
 }
 
 impl InstanceTable {
-    /// No workers yet.
+    /// Creates an empty table.
     pub fn new(longest_lease: Duration) -> Self {
         Self { longest_lease, ..Self::default() }
     }
 
-    /// One worker.
+    /// Returns a worker.
     pub fn get(&self, id: &WorkerId) -> Option<&WorkerInstance> {
         self.instances.get(id)
     }
 
-    /// One worker, to change.
+    /// Returns a worker for modification.
     pub(crate) fn get_mut(&mut self, id: &WorkerId) -> Option<&mut WorkerInstance> {
         self.instances.get_mut(id)
     }
@@ -79,12 +82,12 @@
         self.instances.values()
     }
 
-    /// All workers, to change.
+    /// All workers, for modification.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut WorkerInstance> {
         self.instances.values_mut()
     }
 
-    /// A run of an earlier leader may have crashed its worker.
+    /// Notes a run of an earlier leader that may have crashed its worker.
     pub(crate) fn inherit_suspect_run(
         &mut self,
         now: Instant,
@@ -94,15 +97,16 @@
         self.crashes.note_suspect_run(now, task, suspect_run, None);
     }
 
-    /// Whether the machine of a worker has crashed lately.
+    /// Whether the machine of a worker has crashed recently.
     pub(crate) fn crashed_lately(&self, now: Instant, instance: &WorkerInstance) -> bool {
         self.crashes.crashed_lately(now, &instance.address())
     }
 
-    /// Takes in a registration. Of two lives at an address only the worker itself can tell which is over: an
-    /// earlier one may be registered once more after the newer. So the others there are polled at once, and a
-    /// life that is over is refused. Taking the last to register for the newer had up to 13 tasks of a day
-    /// run twice, on days on which workers crash behind a cut.
+    /// Applies a registration. Of two instances at an address only the worker itself can say which has ended,
+    /// as the older one may register once more after the newer. So the other instances at the address are
+    /// polled at once, and the worker refuses calls to an ended instance. Assuming that the last registration
+    /// is the newer one made up to 13 tasks of a day run twice, on days on which workers crash during a
+    /// network partition.
     pub(crate) fn register(&mut self, now: Instant, registration: WorkerRegistration) {
         let others = self.instances.values_mut().filter(|instance| {
             instance.address() == registration.address && *instance.id() != registration.id
@@ -122,7 +126,7 @@
         }
     }
 
-    /// A worker that the store names, before or without its registration.
+    /// Adds a worker that the store names, before or without its registration.
     pub(crate) fn restore_used(
         &mut self,
         now: Instant,
@@ -138,7 +142,7 @@
         instance.instance_start = used.instance_start;
     }
 
-    /// A registration has gone. The worker may still run, and register again.
+    /// Notes that a registration has gone. The worker may still run, and register again.
     pub(crate) fn unregister(&mut self, now: Instant, id: &WorkerId) {
         if let Some(instance) = self.instances.get_mut(id)
             && std::mem::replace(&mut instance.registered, false)
@@ -148,14 +152,14 @@
         }
     }
 
-    /// A worker is not to be used any more, though it may be registered.
+    /// Stops using a worker that may still be registered.
     pub(crate) fn stop_using(&mut self, id: &WorkerId) {
         if let Some(instance) = self.instances.get_mut(id) {
             (instance.registered, instance.reregistration_deadline) = (false, None);
         }
     }
 
-    /// Another life of a worker answers in place of this one.
+    /// Handles an answer that shows another instance in place of this one.
     pub(crate) fn instance_replaced(&mut self, now: Instant, id: &WorkerId) -> Vec<WorkerEvent> {
         let Some(instance) = self.instances.get(id) else {
             return Vec::new();
@@ -170,13 +174,13 @@
         events
     }
 
-    /// Since when other workers have been silent.
+    /// Since when each other silent worker has been silent.
     fn other_silences(&self, id: &WorkerId) -> Vec<Instant> {
         let others = self.instances.values().filter(|other| other.id() != id);
         others.filter_map(|other| other.silent_since).collect()
     }
 
-    /// A life that has ended: all its runs are lost.
+    /// Removes an instance that has ended; all its runs are lost.
     fn end_instance(&mut self, id: &WorkerId, end: InstanceEnd) -> Vec<WorkerEvent> {
         let Some(instance) = self.instances.remove(id) else {
             return Vec::new();
@@ -190,9 +194,9 @@
         events
     }
 
-    /// Polls that are due. Without `extend` leases are left as they are, and so are those of workers that
-    /// left the last call unanswered: a poll that may still arrive counts as an extension, and a worker
-    /// that is cut off for 6 s would hold its tasks for 10 s instead of 5.
+    /// Returns the polls that are due. Without `extend`, leases are left as they are. So are leases of
+    /// workers that left the last call unanswered: a poll that may still arrive counts as an extension, and a
+    /// worker that is cut off for 6 s would hold its tasks for 10 s instead of 5.
     pub(crate) fn due_polls(&mut self, now: Instant, extend: bool) -> Vec<GraphAction> {
         let due = |instance: &&mut WorkerInstance| {
             instance.polling.is_none() && instance.next_poll <= now
@@ -201,9 +205,11 @@
         let mut polls = Vec::new();
         for instance in self.instances.values_mut().filter(due) {
             instance.polling = Some(now);
-            // An idle worker that is not registered is left alone once its lease is over: it was polled for good.
+            // The lease of an idle worker without registration is not extended: otherwise it would never
+            // expire and the worker would be polled for good.
             let used = instance.registered || !instance.runs.is_empty();
-            // Another life would forget its first ends unread by the number of this one.
+            // Another instance numbers its ends anew: acknowledged by a number of this one, its first ends
+            // would be dropped unread.
             let same_instance =
                 instance.last_poll_answer.is_some_and(|at| now - at <= SAME_INSTANCE_TIME);
             let until = match extend && used && instance.misses == 0 {
@@ -236,7 +242,7 @@
         idle.map(|instance| instance.next_poll).min()
     }
 
-    /// Takes in the answer to a poll.
+    /// Handles the answer to a poll.
     pub(crate) fn handle_poll_result(
         &mut self,
         now: Instant,
@@ -295,7 +301,7 @@
         events
     }
 
-    /// A worker answers a poll: which of its lives that is, its clock and its lease.
+    /// Updates instance, clock and lease of a worker from its answer to a poll.
     fn note_poll_answer(
         &mut self,
         now: Instant,
@@ -324,7 +330,7 @@
         let offered_lease_end = instance.offered_lease_end.take();
         instance.grant_lease(offered_lease_end);
         let claimed = std::mem::replace(&mut instance.claimed, true);
-        // Its lease may have been extended by the clock of a life before.
+        // Its lease may have been extended on the clock of a previous instance.
         if !known_instance {
             instance.inherit_lease(self.longest_lease);
         } else if !claimed {
@@ -341,7 +347,7 @@
         events
     }
 
-    /// Ends up to a number are stored: the next poll says so.
+    /// Notes that ends up to a number are stored, to be acknowledged with the next poll.
     pub(crate) fn ends_stored(&mut self, now: Instant, id: &InstanceId, number: u64) {
         if let Some(instance) = self.instances.get_mut(&id.worker)
             && instance.instance_start == id.instance_start
@@ -354,7 +360,7 @@
         }
     }
 
-    /// A poll failed.
+    /// Handles a failed poll.
     pub(crate) fn poll_failed(
         &mut self,
         now: Instant,
@@ -383,9 +389,9 @@
         }
     }
 
-    /// Runs on probation that have begun on workers that have fallen silent. The store keeps them before it is known
-    /// what became of the worker, which is back seconds after a crash: a leader that was lost meanwhile left the next
-    /// to count anew.
+    /// Returns runs on probation that have begun on workers that have fallen silent. They are stored before
+    /// the fate of the worker is known, as a crashed worker is back only seconds later: if the leader were
+    /// lost in between, the next one would start counting from zero.
     pub(crate) fn crash_suspicions(&mut self, now: Instant) -> Vec<WorkerEvent> {
         let silent = |instance: &&mut WorkerInstance| {
             let since = instance.silent_since.filter(|_| instance.misses >= SUSPECT_MISSES);
@@ -407,7 +413,7 @@
         events
     }
 
-    /// Runs of workers whose lease is surely over.
+    /// Removes the runs of workers whose lease has certainly expired, and reports them as given up.
     pub(crate) fn expired_runs(&mut self, now: Instant) -> Vec<WorkerEvent> {
         let (mut events, longest) = (Vec::new(), self.longest_lease);
         for instance in self.instances.values_mut() {
@@ -438,8 +444,8 @@
         events
     }
 
-    /// Workers that are neither registered nor able to run anything any more; once everything from
-    /// before this leader's time is over, also those that it has never heard.
+    /// Removes workers that are not registered and can run nothing any more. Once everything from before this
+    /// leader's term has ended (`settled`), this includes workers that have never answered.
     pub(crate) fn remove_vanished(&mut self, now: Instant, settled: bool) -> Vec<WorkerEvent> {
         let gone = |instance: &&WorkerInstance| {
             let over = if instance.claimed { instance.is_lease_expired(now) } else { settled };
@@ -451,7 +457,7 @@
         gone.iter().flat_map(|id| self.end_instance(id, InstanceEnd::Vanished)).collect()
     }
 
-    /// Workers that the store has to name.
+    /// Workers to be recorded in the store as in use.
     pub(crate) fn in_use(&self) -> Vec<UsedWorker> {
         let claimed =
             self.instances.values().filter(|instance| instance.claimed || instance.in_store);
@@ -465,7 +471,7 @@
     }
 }
 
-/// Pause after a number of polls in a row without an answer.
+/// Pause after a number of consecutive polls without an answer.
 fn miss_pause(misses: u32) -> Duration {
     match misses {
         0 | 1 => Duration::ZERO,
@@ -474,7 +480,7 @@
 }
 
 impl WorkerInstance {
-    /// A run on probation that goes on a worker that has not announced that it leaves.
+    /// Returns the run as a suspect if it is on probation and its worker has not announced that it leaves.
     fn suspect_run(&self, run: &WorkerRun) -> Option<SuspectRun> {
         let is_suspect = run.probation.is_some() && self.leaves.is_none();
         let (worker, address, instance_start) =
@@ -482,13 +488,14 @@
         is_suspect.then_some(SuspectRun { run: run.run, worker, address, instance_start })
     }
 
-    /// Whether it has left as announced: unregistered, its time over, and nothing answers there.
+    /// Whether it has left as announced: it is unregistered and its remaining time is over. The caller has
+    /// found that nothing answers at its address.
     fn has_left(&self, now: Instant) -> bool {
         !self.registered && self.leaves.is_some_and(|leaves| leaves <= now)
     }
 }
 
-/// Compares a list of what runs with what is known of the worker.
+/// Applies a worker's list of running tasks to its known runs.
 fn apply_running_list(
     instance: &mut WorkerInstance,
     now: Instant,
@@ -536,8 +543,8 @@
     instance.health.note_work(now, work, time);
     let gone = |(task, run): &(&TaskName, &WorkerRun)| {
         let since = match run.phase {
-            // A start is refused once its time has passed on the worker's clock. A worker that answered
-            // looks, and neither starts nor stops, held a task for good.
+            // A worker refuses a start once the time that it is valid for has passed on its clock. Without
+            // this rule, a worker that answered polls but neither starts nor stops held a task for good.
             RunPhase::Sent { .. } | RunPhase::Stopping { answered: None, .. } => match run.until {
                 Some(until) => until,
                 None => return false,
--- a/src/graph/instances/restart.rs
+++ b/src/graph/instances/restart.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under their ids.
+//! Workers that restart under their ids.
 
 use std::collections::BTreeMap;
 
@@ -14,8 +14,8 @@
 type RunTable = BTreeMap<TaskName, WorkerRun>;
 
 impl InstanceTable {
-    /// Another life answers under the id of a worker. A run that it does not list and that was not surely carried out before
-    /// it may still begin there.
+    /// Handles an answer of another instance under the id of a worker. A run that the new instance does not
+    /// list, and that was not certainly carried out by the previous one, may still begin there.
     pub(super) fn handle_restart(
         &mut self,
         now: Instant,
@@ -52,7 +52,8 @@
 }
 
 impl WorkerRun {
-    /// The same run at another life that lists it: times on the clock of the life before mean nothing there.
+    /// The same run at another instance that lists it. Times on the clock of the previous instance are
+    /// dropped, as they mean nothing on the new clock.
     fn carried_over(self, now: Instant, reply: &PollReply) -> Self {
         let phase = match self.phase {
             RunPhase::Sent { tries } => RunPhase::Sent { tries },
@@ -62,7 +63,7 @@
         Self { phase, until: None, taken_by_newer_instance: None, ..self }
     }
 
-    /// A run that another life does not list and may still begin: only a stop that it has answered settles that.
+    /// A run that another instance does not list and may still begin; only an answered stop settles that.
     fn in_doubt(self, now: Instant) -> Self {
         let phase = RunPhase::Stopping { answered: None, sent: now };
         Self { phase, until: None, probation: None, taken_by_newer_instance: None, ..self }
--- a/src/graph/job.rs
+++ b/src/graph/job.rs
@@ -1,4 +1,4 @@
-//! A job graph in a leader's memory.
+//! A job graph as the leader holds it in memory.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -15,23 +15,23 @@
 use crate::graph::spec::{GraphSpec, StepSpec};
 use crate::id::{DomainId, WorkerId};
 
-/// What the store keeps of a job from its acceptance on.
+/// Record of a job in the store, written when the job is accepted.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct GraphRecord {
     /// The job.
     pub spec: GraphSpec,
-    /// Its queue when it was accepted; used where the queue has been removed since.
+    /// Its queue at acceptance; used where the queue has been removed since.
     pub rule: QueueRule,
-    /// Failure domain that it runs in; `None` for one that may run anywhere.
+    /// Failure domain that it runs in; `None` if it may run anywhere.
     #[serde(default)]
     pub home: Option<DomainId>,
-    /// How its tasks are shared out, where it is wider than a shard.
+    /// How its tasks are divided among shards, where it is wider than a shard.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub share: Option<TaskShare>,
 }
 
-/// Where a task runs, or may run.
+/// Worker on which a task runs or may run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LiveRun {
     /// The worker.
@@ -40,14 +40,14 @@
     pub run: RunNumber,
 }
 
-/// What callers are told of a job.
+/// State of a job as reported to callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GraphState {
     /// No task has begun.
     Queued,
-    /// It is under way.
+    /// A task has begun.
     Running,
     /// All tasks succeeded.
     Completed,
@@ -64,31 +64,32 @@
     pub spec: Arc<GraphSpec>,
     /// Its queue.
     pub rule: Arc<QueueRule>,
-    /// Failure domain that it runs in; `None` for one that may run anywhere.
+    /// Failure domain that it runs in; `None` if it may run anywhere.
     pub home: Option<DomainId>,
-    /// How its tasks are shared out, where it is wider than a shard.
+    /// How its tasks are divided among shards, where it is wider than a shard.
     pub share: Option<TaskShare>,
-    /// Shard of the leader that has this job, or this part of it.
+    /// Shard of the leader that runs this job, or this part of it.
     pub shard: ShardId,
-    /// Failure domains beside its home that the store says it may use.
+    /// Failure domains beside its home that it may use according to the store.
     pub stored_domains: BTreeSet<DomainId>,
-    /// What has become of it; the store may not have the newest yet.
+    /// Its progress; the store may not have the latest yet.
     pub progress: GraphProgress,
-    /// First runs that count, as the store has them.
+    /// Lowest run numbers that count, as stored.
     pub stored_floors: BTreeMap<TaskKey, RunNumber>,
-    /// Starts that are announced, as the store has them.
+    /// Announced starts, as stored.
     pub stored_announced: BTreeMap<TaskKey, RunNumber>,
-    /// Tasks for which an earlier leader had announced a start, which may have gone out.
+    /// Tasks whose start an earlier leader announced and may have sent.
     pub inherited_starts: BTreeSet<TaskKey>,
-    /// Last start of tasks that has surely not been carried out; the store may have it as one that may crash its worker.
+    /// Last start of a task that was certainly not carried out; the store may still have it as a run that may
+    /// crash its worker.
     pub withdrawn: BTreeMap<TaskKey, RunNumber>,
     /// Verdict that the store has.
     pub stored_verdict: Option<GraphVerdict>,
     /// Whether the store has the job.
     pub durable: bool,
-    /// When its caller is told that it was not taken, unless the store has it by then.
+    /// When the submission is refused, unless the store has the job by then.
     pub submit_deadline: Instant,
-    /// Whether it is from before this leader's time.
+    /// Whether it was accepted before this leader's term.
     pub inherited: bool,
     /// When it was submitted.
     pub submitted_at: Instant,
@@ -96,16 +97,16 @@
     pub live: BTreeMap<TaskKey, LiveRun>,
     /// Highest run of each task so far.
     pub last_run: BTreeMap<TaskKey, RunNumber>,
-    /// Workers on which a task failed.
+    /// Workers on which a task failed, which are avoided for its next runs.
     pub avoided_workers: BTreeMap<TaskKey, BTreeSet<WorkerId>>,
     /// When a task may be started again.
     pub not_before: BTreeMap<TaskKey, Instant>,
-    /// Longest chains to the end of the graph, a step.
+    /// Longest path from each step to the end of the graph, by declared run time.
     pub critical_paths: Vec<Duration>,
 }
 
 impl GraphJob {
-    /// A job that the store does not have yet.
+    /// Creates a job that is not stored yet.
     pub fn new(record: GraphRecord, now: Instant) -> Self {
         let critical_paths = record.spec.remaining_critical_paths();
         Self {
@@ -133,7 +134,7 @@
         }
     }
 
-    /// A job that the store has, submitted `age` ago.
+    /// Restores a stored job that was submitted `age` ago.
     pub fn restored(
         record: GraphRecord,
         progress: GraphProgress,
@@ -149,26 +150,26 @@
         job.stored_announced = progress.announced.clone();
         job.inherited_starts = progress.announced.keys().copied().collect();
         job.progress = progress;
-        // Progress that an earlier version stored does not say so.
+        // Progress stored by an earlier version lacks this flag.
         job.progress.begun = job.progress.shows_begun();
         job
     }
 
-    /// Whether its tasks may run in a failure domain, as the store has it.
+    /// Whether its tasks may run in a failure domain, according to the store.
     pub fn may_use(&self, domain: &DomainId) -> bool {
         self.home.as_ref().is_none_or(|home| home == domain) || self.stored_domains.contains(domain)
     }
 
-    /// Whether it may use another failure domain as soon as the store has that.
+    /// Whether it may use a further failure domain once that is stored.
     pub fn is_widening(&self) -> bool {
         self.progress.domains.iter().any(|domain| !self.stored_domains.contains(domain))
     }
 
-    /// What callers are told.
+    /// State as reported to callers.
     ///
-    /// A verdict is told once the store has it. Told as soon as the workers had listed all ends, success
-    /// outlived its only record where a worker and the leader were lost in one outage of the store: 13 to
-    /// 64 tasks of such days ran again.
+    /// A verdict is reported only once it is stored. Reported as soon as the workers had listed all ends, a
+    /// success could be lost where the only record of it went with a worker and the leader in one outage of
+    /// the store: 13 to 64 tasks of such days ran again.
     pub fn state(&self) -> GraphState {
         match self.stored_verdict {
             Some(GraphVerdict::Completed) => GraphState::Completed,
@@ -184,7 +185,7 @@
         self.progress.verdict.is_some()
     }
 
-    /// A step of it.
+    /// Returns a step.
     pub fn step(&self, key: StepKey) -> Option<&StepSpec> {
         self.spec.steps.get(key.step as usize)
     }
@@ -199,7 +200,7 @@
         self.step(key).is_some_and(|step| self.progress.done_count(key) >= step.count)
     }
 
-    /// Whether the steps that a step waits for have succeeded.
+    /// Whether all steps that a step depends on have succeeded.
     pub fn dependencies_done(&self, key: StepKey) -> bool {
         let Some(step) = self.step(key) else {
             return false;
@@ -214,18 +215,19 @@
             .all(|occurrence| (0..steps).all(|step| self.step_done(StepKey { occurrence, step })))
     }
 
-    /// Whether another shard's leader has accepted it, and answers for it.
+    /// Whether the leader of another shard has accepted it and owns it.
     pub fn is_part(&self) -> bool {
         self.share.as_ref().is_some_and(|share| share.owner != self.shard)
     }
 
-    /// Tasks of a step that have neither succeeded nor may run anywhere, and that this leader has to run.
+    /// Tasks of a step that this leader has to run, that have not succeeded and have no live run.
     pub fn waiting(&self, key: StepKey) -> Vec<TaskKey> {
         let count = self.step(key).map_or(0, |step| step.count);
         let here = |index: &u32| {
             self.share.as_ref().is_none_or(|share| share.holds(&self.shard, *index, count))
         };
-        // Begun before the store knows that an earlier run counts no more, its end might be acknowledged later.
+        // If a task were started before the store has its raised floor, the end of an earlier run might still
+        // be acknowledged later.
         let floor_stored =
             |task: &TaskKey| self.progress.floors.get(task) == self.stored_floors.get(task);
         let announcement_stored =
@@ -238,9 +240,9 @@
             .collect()
     }
 
-    /// Tasks that may have been begun by an earlier leader without this one knowing what became of it. Tasks whose
-    /// turn had not come in what is stored may have been begun as well: the last progress may be lost. So may those of which
-    /// an earlier run has ended, again after it.
+    /// Tasks that an earlier leader may have started, with an outcome unknown to this leader. They include
+    /// tasks whose dependencies are not done in the stored progress, since the last progress may be lost, and
+    /// tasks of which an earlier run has ended, since they may have been started again after it.
     pub(crate) fn unseen_tasks(&self) -> Vec<TaskKey> {
         let mut unseen = Vec::new();
         for occurrence in 0..self.spec.occurrences() {
@@ -259,13 +261,14 @@
         unseen
     }
 
-    /// Whether a worker has crashed under a run of a task, or may have.
+    /// Whether a worker has crashed, or may have crashed, under a run of a task.
     pub fn is_suspected(&self, task: TaskKey) -> bool {
         self.progress.crashes.contains_key(&task) || self.progress.trials.contains_key(&task)
     }
 
-    /// Whether the store has to have the next start of a task before it goes out: it may crash its worker, or an earlier one
-    /// may have. `lost_before_contact` tells whether workers from before this leader's time were lost before they were heard.
+    /// Whether the next start of a task must be stored before it is sent, as it may crash its worker or an
+    /// earlier start may have done so. `lost_before_contact` states whether workers from before this leader's
+    /// term were lost before they answered it.
     pub(crate) fn needs_announcement(&self, task: TaskKey, lost_before_contact: bool) -> bool {
         let unheard = lost_before_contact && self.inherited && !self.last_run.contains_key(&task);
         let announced = self.progress.announced.contains_key(&task);
@@ -275,13 +278,13 @@
         }
     }
 
-    /// Time from hand-in within which its worth is whole.
+    /// Time from submission within which the job keeps its full value.
     pub fn objective(&self) -> Duration {
         let longest_path = self.critical_paths.iter().max().copied().unwrap_or_default();
         longest_path.mul_f64(self.rule.slack) + self.rule.target
     }
 
-    /// Number of the next start of a task, above all starts of earlier leaders.
+    /// Run number of the next start of a task, above all numbers used by earlier leaders.
     pub fn next_run(&self, task: &TaskKey, base: RunNumber) -> RunNumber {
         self.last_run.get(task).copied().unwrap_or(0).max(base) + 1
     }
--- a/src/graph/jobs.rs
+++ b/src/graph/jobs.rs
@@ -1,4 +1,4 @@
-//! All jobs of a leader, and what ends of runs make of them.
+//! All jobs of a leader, and how they change with the ends of their runs.
 
 mod crashes;
 
@@ -18,10 +18,10 @@
 use crate::graph::worker_event::LostRun;
 use crate::id::{UnixMillis, WorkerId};
 
-/// Pause before a lasting task that ended is started again, so that one which fails at once does not
-/// take a start each few milliseconds.
+/// Pause before a lasting task that ended is started again, so that a task which fails at once does not cause
+/// a start every few milliseconds.
 const LASTING_RESTART_PAUSE: Duration = Duration::from_millis(100);
-/// Pause before the next try of a task that failed.
+/// Pause before a failed task is started again.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// A run that should be stopped.
@@ -32,11 +32,11 @@
 pub(crate) struct JobEffect {
     /// Its progress changed.
     pub(crate) changed: bool,
-    /// Callers wait for the change.
+    /// Callers wait for the change to be stored.
     pub(crate) urgent: bool,
-    /// Runs that are not wanted any more.
+    /// Runs that are no longer needed.
     pub(crate) stops: Vec<RunToStop>,
-    /// It is the success of a run after which the task was begun again.
+    /// The event is the success of a run whose task has been started again since.
     pub(crate) superseded: bool,
 }
 
@@ -49,12 +49,12 @@
 }
 
 impl JobTable {
-    /// One job.
+    /// Returns a job.
     pub fn get(&self, id: &GraphId) -> Option<&GraphJob> {
         self.jobs.get(id)
     }
 
-    /// One job, to change.
+    /// Returns a job for modification.
     pub(crate) fn get_mut(&mut self, id: &GraphId) -> Option<&mut GraphJob> {
         self.jobs.get_mut(id)
     }
@@ -64,7 +64,7 @@
         self.jobs.values()
     }
 
-    /// All jobs, to change.
+    /// All jobs, for modification.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut GraphJob> {
         self.jobs.values_mut()
     }
@@ -83,32 +83,32 @@
         self.jobs.insert(id, job);
     }
 
-    /// Forgets a job.
+    /// Removes a job.
     pub(crate) fn remove(&mut self, id: &GraphId) {
         self.schedulable_ids.remove(id);
         self.jobs.remove(id);
     }
 
-    /// A job has nothing to start until something happens to it.
+    /// Notes that a job has nothing to start until its next event.
     pub(crate) fn mark_unschedulable(&mut self, id: &GraphId) {
         self.schedulable_ids.remove(id);
     }
 
-    /// A job may have a task to start.
+    /// Notes that a job may have a task to start.
     pub(crate) fn mark_schedulable(&mut self, id: &GraphId) {
         if self.jobs.get(id).is_some_and(|job| !job.is_over()) {
             self.schedulable_ids.insert(id.clone());
         }
     }
 
-    /// Notes that a worker has begun a run of a job: only then does the job wait no more.
+    /// Notes that a worker has begun a run of a job; only then does the job leave the queued state.
     pub(crate) fn note_begun(&mut self, task: &TaskName, evidence: BeginEvidence) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             mark_begun(job, task, evidence);
         }
     }
 
-    /// Notes a run that was sent or found.
+    /// Notes a run that was sent to a worker or found on one.
     pub(crate) fn note_run(&mut self, task: &TaskName, worker: WorkerId, run: RunNumber) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             let last = job.last_run.entry(task.key).or_default();
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A run is gone, nobody knows how, or it was never begun.
+    /// Handles a run that is gone without a reported end, or that was never begun.
     pub(crate) fn run_lost(
         &mut self,
         task: &TaskName,
@@ -139,8 +139,8 @@
         effect
     }
 
-    /// A run is given up with its worker's lease: its end, should it be heard later, must not be acknowledged.
-    /// One on probation may have crashed its worker.
+    /// Handles a run that is given up as its worker's lease has expired. Its end, if reported later, must not
+    /// be acknowledged. A run on probation may have crashed the worker.
     pub(crate) fn run_given_up(
         &mut self,
         now: Instant,
@@ -169,8 +169,9 @@
         effect
     }
 
-    /// Runs of earlier leaders may have gone on or ended unseen: those of tasks that this one knows nothing of
-    /// count no more. Tells the jobs for which that is new.
+    /// Makes unknown runs of earlier leaders stop counting, as they may have gone on or ended unseen: for
+    /// each task whose earlier runs this leader does not know, only runs from `first` on count. Returns the
+    /// jobs that changed.
     pub(crate) fn invalidate_unseen_runs(
         &mut self,
         first: RunNumber,
@@ -190,7 +191,7 @@
         changed
     }
 
-    /// A run ended.
+    /// Handles the end of a run.
     pub(crate) fn run_ended(
         &mut self,
         now: Instant,
@@ -270,7 +271,7 @@
         self.end(id, GraphVerdict::Cancelled, unix)
     }
 
-    /// Ends a job that has failed elsewhere.
+    /// Ends a job that has failed in another shard.
     pub(crate) fn fail(&mut self, id: &GraphId, unix: UnixMillis) -> JobEffect {
         self.end(id, GraphVerdict::Failed, unix)
     }
@@ -287,13 +288,13 @@
         effect
     }
 
-    /// Whether a task still has to be run.
+    /// Whether a task still has to run.
     pub fn wants(&self, task: &TaskName) -> bool {
         let job = self.jobs.get(&task.job);
         job.is_some_and(|job| !job.is_over() && !job.progress.is_done(&task.key))
     }
 
-    /// Accepted jobs of a queue none of whose tasks has begun.
+    /// Number of accepted jobs of a queue none of whose tasks has begun.
     pub fn pending(&self, queue: &str) -> usize {
         let waits = |job: &&GraphJob| {
             let waits = job.durable && job.state() == GraphState::Queued;
@@ -302,7 +303,7 @@
         self.jobs.values().filter(waits).count()
     }
 
-    /// Jobs that ended before a moment and hold no run any more.
+    /// Jobs that ended before a moment and have no live run.
     pub(crate) fn ended_before(&self, moment: UnixMillis) -> Vec<GraphId> {
         let old = |job: &&GraphJob| {
             job.stored_verdict.is_some()
@@ -341,8 +342,8 @@
     job.progress.clear_crashes(&task);
 }
 
-/// Runs of tasks of a step that have succeeded elsewhere. The members of a gang end together, so those
-/// of the run that succeeded need no stop.
+/// Runs of a step's tasks that have already succeeded with another run. The members of a gang end together,
+/// so those of the successful run need no stop.
 fn superseded_runs(job: &GraphJob, step: StepKey, run: RunNumber) -> Vec<RunToStop> {
     let gang = job.step(step).is_some_and(|step| step.gang);
     let unwanted = |(key, live): &(&TaskKey, &LiveRun)| {
@@ -352,7 +353,7 @@
     live.map(|(key, live)| (live.worker.clone(), job.task_name(*key), live.run)).collect()
 }
 
-/// The other members of a gang one of whose members has ended.
+/// Runs of the other members of a gang one of whose members has ended.
 fn other_gang_members(job: &GraphJob, task: TaskKey, run: RunNumber) -> Vec<RunToStop> {
     if !job.step(task.step).is_some_and(|step| step.gang) {
         return Vec::new();
@@ -366,7 +367,7 @@
     live.map(|(key, live)| (live.worker.clone(), job.task_name(*key), live.run)).collect()
 }
 
-/// Failed runs of a task; of a gang, those of any member.
+/// Number of failed runs of a task; for a gang, of all its members.
 fn failed_runs(job: &GraphJob, task: TaskKey, gang: bool) -> u32 {
     if !gang {
         return job.progress.failure_count(&task);
@@ -376,7 +377,7 @@
     u32::try_from(runs.len()).unwrap_or(u32::MAX)
 }
 
-/// Keeps a checkpoint; in a gang one member's holds for all.
+/// Keeps a checkpoint and returns whether it is new. In a gang, the checkpoint of one member applies to all.
 fn keep_checkpoint(job: &mut GraphJob, task: TaskKey, checkpoint: &str) -> bool {
     let Some(step) = job.step(task.step) else {
         return false;
--- a/src/graph/jobs/crashes.rs
+++ b/src/graph/jobs/crashes.rs
@@ -1,4 +1,4 @@
-//! What crashes of workers make of the tasks that ran there.
+//! Effects of worker crashes on the tasks that ran there.
 
 use std::collections::BTreeSet;
 
@@ -16,7 +16,8 @@
 use crate::id::UnixMillis;
 
 impl JobTable {
-    /// A worker has crashed with a run of a task on probation: from `limit` such crashes on the task is given up.
+    /// Handles a crash of a worker that had a run on probation. The task is given up after `limit` such
+    /// crashes.
     pub(crate) fn crash_suspected(
         &mut self,
         now: Instant,
@@ -47,10 +48,11 @@
         effect
     }
 
-    /// The next start of a task is to be announced, with the least number that it may have, before it goes out.
+    /// Announces the next start of a task in the store, with the lowest run number that it may have, before
+    /// it is sent.
     ///
-    /// What an earlier leader had announced may have gone out to a worker that was lost before it was heard; a worker that was
-    /// heard would have told of it.
+    /// A start that an earlier leader announced may have been sent to a worker that was lost before it
+    /// answered this leader; a worker that answered would have reported the run.
     pub(crate) fn announce(&mut self, task: &TaskName, base: RunNumber, lost_before_contact: bool) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -70,13 +72,14 @@
         }
     }
 
-    /// Whether the start of a task was announced; it is used up with that.
+    /// Consumes the announcement of a task's start, and returns whether there was one.
     pub(crate) fn consume_announcement(&mut self, task: &TaskName) -> bool {
         let job = self.jobs.get_mut(&task.job);
         job.is_some_and(|job| job.progress.announced.remove(&task.key).is_some())
     }
 
-    /// Suspected tasks wait on under this leader: counts outlive leaders, and so do the pauses that follow from them.
+    /// Delays suspected tasks when a leader takes over. Crash counts survive a change of leader, and so must
+    /// the pauses that follow from them.
     pub(crate) fn delay_suspected(&mut self, now: Instant) {
         for job in self.jobs.values_mut().filter(|job| !job.is_over()) {
             let (crashes, trials) = (&job.progress.crashes, &job.progress.trials);
@@ -89,7 +92,7 @@
         }
     }
 
-    /// A suspected task is started.
+    /// Notes the start of a suspected task.
     pub(crate) fn note_suspect_run(&mut self, task: &TaskName, suspect_run: SuspectRun) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             if let Some(run) = job.withdrawn.remove(&task.key) {
@@ -99,7 +102,7 @@
         }
     }
 
-    /// A start was surely not carried out.
+    /// Handles a start that was certainly not carried out.
     pub(crate) fn withdraw(&mut self, task: &TaskName, run: RunNumber) -> JobEffect {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.withdrawn.insert(task.key, run);
@@ -107,20 +110,21 @@
         self.run_lost(task, run, "")
     }
 
-    /// A run is gone from its worker, or from one that has been replaced: where that has crashed, the crash is noted in place
-    /// of the trial.
+    /// Clears a suspect run that is gone from its worker, or whose worker has been replaced. If the worker
+    /// crashed, the crash is recorded in place of the suspect run.
     pub(crate) fn clear_suspect_run(&mut self, task: &TaskName, run: RunNumber) -> bool {
         let job = self.jobs.get_mut(&task.job).filter(|job| !job.is_over());
         job.is_some_and(|job| job.progress.clear_suspect_run(&task.key, run))
     }
 
-    /// A worker has reported a run as begun. Tells whether that is new of one that a worker may crash, or has crashed, under.
+    /// Notes that a worker has reported a run as begun. Returns whether that is new for a run under which the
+    /// worker has crashed or may crash.
     pub(crate) fn confirm_run(&mut self, task: &TaskName, run: RunNumber) -> bool {
         let job = self.jobs.get_mut(&task.job);
         job.is_some_and(|job| !job.is_over() && job.progress.confirm_run(task.key, run))
     }
 
-    /// A worker has outlived the start of a task: earlier crashes were not its fault.
+    /// Handles a start that the worker has survived: earlier crashes were not caused by the task.
     pub(crate) fn start_survived(&mut self, task: &TaskName) -> JobEffect {
         let mut effect = JobEffect::default();
         if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.is_over()) {
@@ -130,7 +134,7 @@
     }
 }
 
-/// Crashes under a task, and silences since its starts that may be crashes.
+/// Counts the crashes under a task, and the silences since its starts that may be crashes.
 fn crash_count(job: &GraphJob, task: TaskKey) -> CrashCount {
     let progress = &job.progress;
     let mut count = CrashCount::default();
@@ -154,8 +158,9 @@
     count
 }
 
-/// Keeps a task that has been suspected before from starting again in step with others, and for longer with each crash.
-/// After a first one it starts at once: most tasks only ran beside the cause.
+/// Delays the next start of a task that was suspected before, so that suspected tasks do not start in step,
+/// and longer with each crash. After the first crash a task starts at once, since most tasks only ran beside
+/// the cause.
 pub(super) fn delay_start(job: &mut GraphJob, task: &TaskName, run: RunNumber, now: Instant) {
     let count = crash_count(job, task.key);
     let settled = job.live.get(&task.key).is_none_or(|live| live.run == run);
@@ -166,7 +171,7 @@
     }
 }
 
-/// Ends a job one of whose tasks has crashed too many workers.
+/// Fails a job one of whose tasks has crashed too many workers.
 pub(super) fn fail_crashing_job(
     job: &mut GraphJob,
     task: &TaskName,
--- a/src/graph/progress.rs
+++ b/src/graph/progress.rs
@@ -1,4 +1,4 @@
-//! What has become of a job graph: the part of its state that must outlive every process.
+//! Progress of a job graph: the part of its state that must survive every process.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -30,29 +30,32 @@
     pub verdict: Option<GraphVerdict>,
     /// When it ended.
     pub ended: Option<UnixMillis>,
-    /// Whether a worker has reported a task as begun. A start that was sent, or a run that was given up, does not set it.
+    /// Whether a worker has reported a task as begun. Neither a start that was only sent nor a run that was
+    /// given up sets it.
     pub begun: bool,
     /// Tasks that succeeded.
     pub done: BTreeMap<StepKey, BTreeSet<u32>>,
-    /// Runs that failed; a set, since a worker lists an end until it is acknowledged.
+    /// Runs that failed. A set, since a worker lists an end until it is acknowledged.
     pub failures: BTreeMap<TaskKey, BTreeSet<RunNumber>>,
-    /// Runs under which a worker has crashed, with whether they surely went on until then; those of a task that a
-    /// worker has outlived since are forgotten. Kept in memory only, the count began anew with each leader.
+    /// Runs under which a worker has crashed, with whether each was certainly running until then. They are
+    /// cleared once a worker survives the task. They are stored because a count kept in memory would start
+    /// from zero with each leader.
     pub crashes: BTreeMap<TaskKey, BTreeMap<RunNumber, bool>>,
-    /// Runs of suspected tasks, and runs that were given up with a silent worker, that may have crashed it.
+    /// Runs that may have crashed their worker: runs of suspected tasks, and runs that were given up with a
+    /// silent worker.
     pub trials: BTreeMap<TaskKey, Vec<SuspectRun>>,
-    /// Runs among those of `crashes` and `trials` that their workers had reported as begun. A start that was not answered
-    /// may never have arrived.
+    /// Runs in `crashes` and `trials` that their workers had reported as begun. A start without an answer may
+    /// never have arrived.
     pub confirmed: BTreeMap<TaskKey, BTreeSet<RunNumber>>,
-    /// Starts that may follow without another note, of tasks that may crash their workers: the store has them before a worker
-    /// is chosen, so that no such start goes out without a trace.
+    /// Announced starts of tasks that may crash their workers. They are stored before a worker is chosen, so
+    /// that no such start is sent without a record.
     pub announced: BTreeMap<TaskKey, RunNumber>,
-    /// Last checkpoint of tasks that were stopped.
+    /// Last checkpoint of each stopped task.
     pub saved: BTreeMap<TaskKey, String>,
-    /// First run that counts of tasks that were begun again while it was not known what had become of an
-    /// earlier one.
+    /// Lowest run number that counts, for tasks that were started again while the outcome of an earlier run
+    /// was unknown.
     pub floors: BTreeMap<TaskKey, RunNumber>,
-    /// Failure domains that it may use beside its home.
+    /// Failure domains that the job may use beside its home.
     pub domains: BTreeSet<DomainId>,
 }
 
@@ -67,7 +70,7 @@
         self.done.get(&step).map_or(0, |done| u32::try_from(done.len()).unwrap_or(u32::MAX))
     }
 
-    /// A run of a task may crash its worker. Tells whether that is new.
+    /// Notes a run that may crash its worker. Returns whether it is new.
     pub fn note_suspect_run(&mut self, task: TaskKey, suspect_run: SuspectRun) -> bool {
         let trials = self.trials.entry(task).or_default();
         let new = trials.iter().all(|known| known.run != suspect_run.run);
@@ -77,14 +80,15 @@
         new
     }
 
-    /// A worker has crashed with a run of a task; `sure`: the run surely went on until then.
+    /// Notes a crash of a worker under a run of a task. `sure` states whether the run was certainly running
+    /// until then.
     pub fn note_crash(&mut self, task: TaskKey, run: RunNumber, sure: bool) {
         self.remove_suspect_run(&task, run);
         *self.crashes.entry(task).or_default().entry(run).or_default() |= sure;
     }
 
-    /// A worker has reported a run as begun. Tells whether that is new of a run under which a worker has crashed, or may
-    /// have.
+    /// Notes that a worker has reported a run as begun. Returns whether that is new for a run under which a
+    /// worker has crashed or may have crashed.
     pub fn confirm_run(&mut self, task: TaskKey, run: RunNumber) -> bool {
         let crashed = self.crashes.get(&task).is_some_and(|runs| runs.contains_key(&run));
         let mut trials = self.trials.get(&task).into_iter().flatten();
@@ -92,12 +96,12 @@
         suspect && self.confirmed.entry(task).or_default().insert(run)
     }
 
-    /// Whether a run under which a worker has crashed, or may have, had surely begun.
+    /// Whether a run under which a worker has crashed, or may have crashed, had certainly begun.
     pub(crate) fn is_confirmed(&self, task: &TaskKey, run: RunNumber) -> bool {
         self.confirmed.get(task).is_some_and(|runs| runs.contains(&run))
     }
 
-    /// What became of a run of a task is known. Tells whether it had been doubted.
+    /// Clears a suspect run whose outcome is known. Returns whether the run was a suspect.
     pub fn clear_suspect_run(&mut self, task: &TaskKey, run: RunNumber) -> bool {
         let cleared = self.remove_suspect_run(task, run);
         if cleared && let Some(confirmed) = self.confirmed.get_mut(task) {
@@ -122,14 +126,15 @@
         cleared
     }
 
-    /// A worker has outlived a run of a task: earlier crashes were not its fault. Tells whether there were any.
+    /// Clears the crashes under a task once a worker has survived one of its runs, as the task did not cause
+    /// them. Returns whether there were any.
     pub fn clear_crashes(&mut self, task: &TaskKey) -> bool {
         self.confirmed.remove(task);
         let suspect_run = self.trials.remove(task).is_some();
         self.crashes.remove(task).is_some() || suspect_run
     }
 
-    /// Runs of a task before `first` do not count any more.
+    /// Makes runs of a task below `first` stop counting. Returns whether that is new.
     pub fn raise_floor(&mut self, task: TaskKey, first: RunNumber) -> bool {
         let floor = self.floors.entry(task).or_default();
         let raised = *floor < first;
@@ -137,7 +142,7 @@
         raised
     }
 
-    /// Whether a run of a task is one that counts.
+    /// Whether a run of a task counts.
     pub fn counts(&self, task: &TaskKey, run: RunNumber) -> bool {
         self.floors.get(task).is_none_or(|first| run >= *first)
     }
@@ -147,7 +152,7 @@
         self.failures.get(task).map_or(0, |runs| u32::try_from(runs.len()).unwrap_or(u32::MAX))
     }
 
-    /// Whether it has anything that only a worker that has begun a task can have reported.
+    /// Whether it contains anything that only a worker that has begun a task can have reported.
     pub(crate) fn shows_begun(&self) -> bool {
         let sure = |runs: &BTreeMap<RunNumber, bool>| runs.values().any(|sure| *sure);
         self.begun
@@ -158,12 +163,12 @@
             || self.crashes.values().any(sure)
     }
 
-    /// Whether the store has nothing to keep of it.
+    /// Whether there is nothing to store.
     pub(crate) fn is_blank(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Names of its parts that are not empty, for the log.
+    /// Names of the parts that are not empty, for the log.
     pub(crate) fn recorded(&self) -> String {
         let parts = [
             (self.verdict.is_some(), "verdict"),
@@ -183,7 +188,7 @@
     }
 }
 
-/// The stored form: JSON knows only texts as keys.
+/// Stored form of the progress: lists in place of maps, as JSON keys can only be strings.
 #[derive(Clone, Default)]
 #[derive(Deserialize, Serialize)]
 #[serde(default)]
--- a/src/graph/share.rs
+++ b/src/graph/share.rs
@@ -50,9 +50,9 @@
 
     /// Whether a shard runs the task with a number among `count`.
     pub fn holds(&self, shard: &ShardId, index: u32, count: u32) -> bool {
-        let place = u64::from(index) * u64::from(SHARE_SCALE) / u64::from(count.max(1));
+        let position = u64::from(index) * u64::from(SHARE_SCALE) / u64::from(count.max(1));
         let covers = |range: &ShareRange| {
-            u64::from(range.from) <= place && place < u64::from(range.to) && range.shard == *shard
+            u64::from(range.from) <= position && position < u64::from(range.to) && range.shard == *shard
         };
         self.ranges.iter().any(covers)
     }
--- a/src/graph/worker.rs
+++ b/src/graph/worker.rs
@@ -1,4 +1,4 @@
-//! One life of a worker: what is known of its clock, its lease, its room and its runs.
+//! One instance of a worker: its clock, lease, capacity and runs as the leader sees them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,48 +15,48 @@
 use crate::id::{RackId, WorkerId};
 use crate::resources::ResourceVector;
 
-/// Thousandths by which a worker's clock may be slow; from the platform's contract (2%).
+/// Thousandths by which a worker's clock may run slow; the platform guarantees 2%.
 const SLOW_CLOCK_PERMILLE: u32 = 20;
-/// Added to a lease before it counts as over: what was killed may take this long to be gone.
+/// Added to a lease before it counts as expired: killed processes may take this long to exit.
 const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(150);
 
-/// Share done, in percent, from which a run's speed can be told.
+/// Progress, in percent, from which the speed of a run can be estimated.
 const MIN_PROGRESS_PERCENT: u32 = 10;
 
-/// Shortest time over which progress is measured: it is told in whole percent.
+/// Shortest time over which progress is measured, as it is reported in whole percent.
 const MIN_MEASURE_TIME: Duration = Duration::from_millis(250);
 
-/// Why a life of a worker counts as over.
+/// Why an instance of a worker has ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum InstanceEnd {
-    /// Another life answers at its address, and it had not announced that it leaves: it has crashed.
+    /// Another instance answers at its address, and it had not announced that it leaves: it has crashed.
     Replaced,
-    /// Another life answers under its id: it has crashed.
+    /// Another instance answers under its id: it has crashed.
     Restarted,
-    /// It has left as announced.
+    /// It left as announced.
     Left,
-    /// It is not registered and its lease is over.
+    /// It is not registered and its lease has expired.
     Vanished,
 }
 
-/// How far a run has come.
+/// Phase of a run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RunPhase {
-    /// The start was sent; `tries` times so far.
+    /// The start was sent `tries` times so far.
     Sent {
         /// Number of sends.
         tries: u32,
     },
-    /// The worker has it.
+    /// The worker has confirmed the run.
     Running {
-        /// The worker's clock when it said so first.
+        /// The worker's clock when it first confirmed the run.
         confirmed: Duration,
     },
     /// A stop was sent.
     Stopping {
         /// The worker's clock when it answered a stop.
         answered: Option<Duration>,
-        /// When the stop was sent last, or was found to be unanswered.
+        /// When the stop was last sent, or was last found to be unanswered.
         sent: Instant,
     },
 }
@@ -66,129 +66,135 @@
 pub struct WorkerRun {
     /// Number of the start.
     pub run: RunNumber,
-    /// Room that it takes.
+    /// Resources that it reserves on the worker.
     pub need: ResourceVector,
-    /// Whether its room is known: not that of a run of a job that this leader does not know.
+    /// Whether `need` is known; it is not for a run of a job that this leader does not know.
     pub demand_known: bool,
-    /// How far it has come.
+    /// Its phase.
     pub phase: RunPhase,
-    /// When it was started or first seen.
+    /// When it was started or first listed.
     pub since: Instant,
-    /// Run time that its caller declares; `None` where it ends only when it is stopped.
+    /// Run time that its caller declares; `None` for a task that runs until it is stopped.
     pub(crate) declared_run_time: Option<Duration>,
-    /// The same, where its progress tells the worker's speed.
+    /// The declared run time, where the progress of the run indicates the speed of its worker.
     pub estimate: Option<Duration>,
-    /// Share done in percent, and when it was measured for the worker's speed.
+    /// Progress in percent at the last measurement of the worker's speed, and the time of that measurement.
     pub last_measurement: (u32, Instant),
-    /// Share done in percent, and when it last rose.
+    /// Last reported progress in percent.
     pub percent: u32,
-    /// When the share done last rose.
+    /// When the progress last changed.
     pub progressed_at: Instant,
-    /// Tail latency or processors in use, as the worker last said.
+    /// Tail latency or processors in use, as last reported by the worker.
     pub reported_load: u32,
-    /// Last checkpoint seen.
+    /// Last reported checkpoint.
     pub checkpoint: String,
     /// Priority of its queue, 0 first.
     pub priority: u32,
-    /// Whether it uses only processors that are left over.
+    /// Whether it uses only processors that no other run has reserved.
     pub best_effort: bool,
-    /// Whether it may be stopped to make room: no member of a gang, no lasting task.
+    /// Whether it may be preempted; members of gangs and lasting tasks may not.
     pub preemptible: bool,
-    /// Whether a stop keeps what it has done.
+    /// Whether its progress survives a stop, as it writes checkpoints.
     pub keeps_checkpoint: bool,
-    /// Bound on its tail latency, where it serves users of its own.
+    /// Bound on its tail latency, where it serves requests.
     pub target: Option<Duration>,
-    /// What it runs.
+    /// Image that it runs.
     pub image: Option<ImageId>,
-    /// Share that it was throttled to, in percent.
+    /// Share of the processors that it is throttled to, in percent.
     pub throttle: u32,
-    /// Sends of its stop that have failed.
+    /// Number of failed attempts to send its stop.
     pub failed_stops: u32,
-    /// Until when, on the worker's clock, a start of it that was sent may still be carried out.
+    /// Until when, on the worker's clock, a start that was sent may still be carried out.
     pub until: Option<Duration>,
-    /// Number of sends of its start by this leader.
+    /// Number of times that this leader has sent its start.
     pub sends: u32,
-    /// Whether a list of its worker has shown it.
+    /// Whether its worker has listed it.
     pub listed: bool,
-    /// When its start was answered by a clock that shows a later life than the one that was heard last.
+    /// When its start was answered by an instance newer than the last known one, as its clock showed.
     pub(crate) taken_by_newer_instance: Option<Instant>,
-    /// Whether its worker has said that it has it.
+    /// Whether its worker has reported it as begun.
     pub begun: bool,
-    /// When its worker has outlived its start for long enough; `None` once it has.
+    /// End of its probation, at which its worker counts as having survived the start; `None` afterwards.
     pub probation: Option<Instant>,
-    /// Whether a worker has crashed under an earlier run of its task, or is silent with this one.
+    /// Whether a worker has crashed during an earlier run of its task, or has fallen silent during this run.
     pub suspected: bool,
-    /// Whether the store was told that it may crash its worker, before or since that fell silent.
+    /// Whether the store has a record that this run may crash its worker, written before or after the worker
+    /// fell silent.
     pub suspicion_stored: bool,
 }
 
-/// A life of a worker.
+/// An instance of a worker.
 #[derive(Clone, Debug)]
 pub struct WorkerInstance {
-    /// Start of the life that answers, once it was heard; until then of the one that the store names.
+    /// Start of the instance that answered last; before the first answer, of the instance that the store
+    /// names.
     pub instance_start: InstanceStart,
-    /// The worker as it registered; for one known only from the store, as much as is known.
+    /// Registration of the worker; for a worker known only from the store, filled in as far as known.
     pub registration: WorkerRegistration,
-    /// A registration of another life than the one that was heard last, and when it came: only an answer tells whether that
-    /// life is later or earlier.
+    /// A registration of another instance than the last one that answered, and when it came. Only an answer
+    /// shows which of the two instances is the newer.
     announced: Option<(Instant, WorkerRegistration)>,
-    /// Whether it is registered now.
+    /// Whether it is registered.
     pub registered: bool,
-    /// Until when it counts as one that registers again, where its registration has gone.
+    /// Until when it is expected to register again, after its registration has gone.
     pub reregistration_deadline: Option<Instant>,
-    /// When it will be gone at the earliest, where it is leaving.
+    /// Earliest time at which it will be gone, where it is leaving.
     pub leaves: Option<Instant>,
     /// Whether it has answered under this leader's epoch.
     pub claimed: bool,
-    /// Whether the store names it as one that may run something.
+    /// Whether the store names it as a worker that may run tasks.
     pub in_store: bool,
-    /// Its clock at a moment of ours.
+    /// The worker's clock, and the local time at which it was read.
     clock: Option<(Duration, Instant)>,
-    /// Newest list of runs, by the worker's clock.
+    /// The worker's clock on the newest list of runs.
     pub snapshot: Duration,
-    /// Whether the last list was older than that.
+    /// Whether the last list was older than `snapshot`.
     pub(crate) list_outdated: bool,
-    /// Latest end of its lease that was sent, on its clock.
+    /// Latest lease end that was sent, on the worker's clock.
     pub lease: Option<Duration>,
-    /// End of its lease that was sent with the poll that is not answered.
+    /// Lease end that was sent with the poll in flight.
     pub(crate) offered_lease_end: Option<Duration>,
-    /// Latest end of its lease that it has answered to.
+    /// Latest lease end that it has acknowledged.
     pub(crate) granted_lease_end: Option<Duration>,
-    /// Number of the last end that was taken in.
+    /// Number of the last run end that was processed.
     pub last_end: u64,
-    /// Number of the last end that the store has.
+    /// Number of the last run end that the store has.
     pub last_stored_end: u64,
-    /// Number of the last end by a lease that ran out.
+    /// Number of the last run end that was caused by an expired lease.
     pub last_lease_expiry: u64,
-    /// Number of the first end that must not be acknowledged: its task was begun again before it was heard.
+    /// Number of the first run end that must not be acknowledged, because its task was started again before
+    /// the end was received.
     pub withheld_end: Option<u64>,
-    /// When a poll was sent that is not answered.
+    /// When the poll in flight was sent.
     pub polling: Option<Instant>,
     /// When the next poll is due.
     pub next_poll: Instant,
-    /// When it answered last.
+    /// When it last answered a call.
     pub last_answer: Option<Instant>,
-    /// When it answered the last poll, if it has: other answers do not tell which life gives them.
+    /// When it answered the last poll; `None` if it did not. Answers to other calls do not say which instance
+    /// gives them.
     pub(crate) last_poll_answer: Option<Instant>,
-    /// Calls in a row without an answer.
+    /// Number of consecutive calls without an answer.
     pub misses: u32,
-    /// When the first of them was found to have none.
+    /// When the first of these calls failed.
     pub silent_since: Option<Instant>,
-    /// Since when nothing listens at its address: its process has gone, where one that is only silent may be cut off.
+    /// Since when nothing listens at its address. Its process is gone then, while a worker that only fails to
+    /// answer may be cut off.
     pub(crate) refused_since: Option<Instant>,
-    /// Not used for new work until then.
+    /// Until when it gets no new work.
     pub excluded_until: Option<Instant>,
-    /// What became of the work it was given.
+    /// Health of the worker, from the outcomes of its runs.
     pub health: WorkerHealth,
-    /// All runs that take room.
+    /// All runs that hold resources.
     pub runs: BTreeMap<TaskName, WorkerRun>,
-    /// Whether the room of any of them is not known.
+    /// Whether the demand of any run is unknown.
     has_unknown_demand: bool,
     used: ResourceVector,
 }
 
 impl WorkerRun {
-    /// A run of a task of a job that this leader knows, or else one that takes no room.
+    /// Creates a run of a task. Without `origin`, for a job that this leader does not know, it reserves no
+    /// resources.
     pub fn new(
         run: RunNumber,
         phase: RunPhase,
@@ -232,15 +238,15 @@
     }
 }
 
-/// Whether the progress of a step's tasks tells their worker's speed: not where they wait for each other
-/// or live on what others leave over.
+/// Whether the progress of a step's tasks indicates the speed of their worker. It does not for tasks that
+/// wait for each other or that use only leftover processors.
 fn indicates_speed(step: &StepSpec) -> bool {
     !(step.lasting || step.best_effort || step.gang || step.estimate.is_zero())
 }
 
 impl WorkerRun {
-    /// Takes in its share done; gives the work since the last measurement, as its caller declares it,
-    /// and the time that it took.
+    /// Measures progress since the last measurement. Returns the work done, in terms of the declared run
+    /// time, and the time that it took.
     pub(crate) fn measure(&mut self, now: Instant) -> Option<(Duration, Duration)> {
         let estimate = self.estimate?;
         let (percent, at) = self.last_measurement;
@@ -252,8 +258,9 @@
         Some((estimate * self.percent.saturating_sub(percent) / 100, time))
     }
 
-    /// Its worker has said that it has it; tells whether for the first time. Sent more than once, it may have begun long after
-    /// its first send, and its worker has outlived nothing by then.
+    /// Notes that the worker has reported the run as begun, and returns whether this is the first report.
+    /// Probation restarts now: a start that was sent more than once may have begun long after its first send,
+    /// so the worker has not yet survived it.
     pub(crate) fn confirm(&mut self, now: Instant) -> bool {
         if std::mem::replace(&mut self.begun, true) {
             return false;
@@ -264,12 +271,12 @@
         true
     }
 
-    /// Whether it was surely carried out by the life that has listed it, and by no later one.
+    /// Whether it was certainly carried out by the instance that listed it, and by no later one.
     pub(crate) fn is_of_one_instance(&self) -> bool {
         self.listed && self.sends <= 1
     }
 
-    /// When it will end, from the share that is done where enough is, or else from its estimate.
+    /// Expected end of the run, from its progress if that is large enough, or else from its estimate.
     pub fn expected_end(&self, estimate: Duration) -> Instant {
         let worked = self.progressed_at.saturating_duration_since(self.since);
         match self.percent {
@@ -280,7 +287,7 @@
 }
 
 impl WorkerInstance {
-    /// A worker that has registered.
+    /// Creates the instance of a worker that has registered.
     pub fn new(registration: WorkerRegistration, now: Instant) -> Self {
         Self {
             instance_start: None,
@@ -316,14 +323,14 @@
         }
     }
 
-    /// Whether an answer or a registration comes from another life than the one that was heard last.
+    /// Whether an answer or a registration comes from another instance than the last one that answered.
     pub(crate) fn is_other_instance(&self, instance_start: InstanceStart) -> bool {
         self.instance_start.is_some()
             && instance_start.is_some()
             && self.instance_start != instance_start
     }
 
-    /// Takes in a registration.
+    /// Applies a registration.
     pub(crate) fn update_registration(&mut self, now: Instant, registration: WorkerRegistration) {
         let other_instance = self.is_other_instance(registration.instance_start);
         if other_instance {
@@ -343,8 +350,8 @@
         self.registration = registration;
     }
 
-    /// A poll that was sent at `asked` is answered: a registration that came before it is that of the life which answers, or
-    /// an old one.
+    /// Resolves a pending registration when a poll that was sent at `asked` is answered. A registration that
+    /// came before the poll was sent belongs to the instance that answers, or is outdated.
     pub(crate) fn confirm_list(&mut self, now: Instant, asked: Option<Instant>) {
         match self.announced.take() {
             Some((_, registration)) if registration.instance_start == self.instance_start => {
@@ -357,14 +364,15 @@
         }
     }
 
-    /// Whether the life that answers is the one that has registered: another may have less room and other labels.
+    /// Whether the instance that answers is the registered one; another may have less capacity and other
+    /// labels.
     fn is_registered(&self) -> bool {
         self.registered
             && self.announced.is_none()
             && !self.is_other_instance(self.registration.instance_start)
     }
 
-    /// The same worker in another life, of which nothing else is known yet.
+    /// The next instance of the same worker, of which nothing else is known yet.
     pub(crate) fn next_instance(&self, now: Instant, instance_start: InstanceStart) -> Self {
         Self {
             instance_start,
@@ -378,17 +386,17 @@
         }
     }
 
-    /// Its name.
+    /// Id of the worker.
     pub fn id(&self) -> &WorkerId {
         &self.registration.id
     }
 
-    /// The life that was heard last.
+    /// Id of the last known instance.
     pub fn instance_id(&self) -> InstanceId {
         InstanceId::new(self.id().clone(), self.instance_start)
     }
 
-    /// Where it answers.
+    /// Address at which it answers.
     pub fn address(&self) -> SocketAddr {
         self.registration.address
     }
@@ -398,7 +406,7 @@
         &self.registration.rack
     }
 
-    /// Takes in an answer's clock.
+    /// Notes an answer and the clock that it carries.
     pub fn note_answer(&mut self, now: Instant, clock: Duration) {
         self.last_answer = Some(now);
         self.misses = 0;
@@ -410,20 +418,20 @@
         }
     }
 
-    /// A call was left without an answer.
+    /// Notes a call without an answer.
     pub fn note_silence(&mut self, now: Instant) {
         self.misses = self.misses.saturating_add(1);
         self.silent_since.get_or_insert(now);
     }
 
-    /// What its clock surely has reached, whatever its rate.
+    /// Lower bound of its clock now, for any rate that the platform allows.
     pub fn clock_lower_bound(&self, now: Instant) -> Option<Duration> {
         let (clock, at) = self.clock?;
         let passed = now.saturating_duration_since(at);
         Some(clock + passed * (1_000 - SLOW_CLOCK_PERMILLE) / 1_000)
     }
 
-    /// What its clock surely had reached at a moment that may lie before the answer that told it last.
+    /// Lower bound of its clock at a moment, which may lie before the last reading of the clock.
     pub(crate) fn clock_reached_by(&self, moment: Instant) -> Option<Duration> {
         let (clock, at) = self.clock?;
         let since = at.saturating_duration_since(moment);
@@ -434,7 +442,7 @@
         }
     }
 
-    /// End of a lease of the given length from now, on its clock, and remembers that it was sent.
+    /// Returns the end, on the worker's clock, of a lease that starts now, and records that it was sent.
     pub fn extend_lease(&mut self, now: Instant, declared_run_time: Duration) -> Option<Duration> {
         let (clock, at) = self.clock?;
         let end = clock + now.saturating_duration_since(at) + declared_run_time;
@@ -442,18 +450,18 @@
         Some(end)
     }
 
-    /// It has answered a call that extended its lease.
+    /// Notes that the worker has answered a call that extended its lease to `end`.
     pub(crate) fn grant_lease(&mut self, end: Option<Duration>) {
         self.granted_lease_end = self.granted_lease_end.max(end);
     }
 
-    /// Nothing listens at its address.
+    /// Notes that nothing listens at its address.
     pub(crate) fn note_refused(&mut self, now: Instant) {
         self.refused_since.get_or_insert(now);
     }
 
-    /// Whether a run that had begun surely went on until its process was gone, as was noticed by `now`: it cannot have ended
-    /// unheard before, by itself or with the worker's lease.
+    /// Whether a run that had begun was certainly running until the worker's process was gone, which was
+    /// noticed by `now`: neither by itself nor by an expired lease can it have ended unreported before.
     pub(crate) fn was_certainly_running(&self, run: &WorkerRun, now: Instant) -> bool {
         let gone = self.refused_since.unwrap_or(now);
         let leased = match (self.granted_lease_end, self.clock) {
@@ -466,7 +474,7 @@
         run.begun && leased && unfinished
     }
 
-    /// Reckons with the longest lease that an earlier leader may have given.
+    /// Assumes the longest lease that an earlier leader may have granted.
     pub fn inherit_lease(&mut self, longest: Duration) {
         if let Some((clock, _)) = self.clock {
             let end = clock + longest;
@@ -474,7 +482,7 @@
         }
     }
 
-    /// Whether nothing that was started there can still run.
+    /// Whether the lease has certainly expired, so that nothing that was started there still runs.
     pub fn is_lease_expired(&self, now: Instant) -> bool {
         match (self.lease, self.clock_lower_bound(now)) {
             (Some(lease), Some(clock)) => clock > lease + LEASE_EXPIRY_MARGIN,
@@ -482,8 +490,8 @@
         }
     }
 
-    /// Whether a run whose start a later life has taken is surely over: that life holds it for the longest lease, whatever end the
-    /// start gave by the clock of the life before.
+    /// Whether a run whose start was accepted by a newer instance has certainly ended. That instance keeps it
+    /// for the longest lease, whatever end the start gave on the clock of the previous instance.
     pub(crate) fn has_certainly_ended(
         &self,
         run: &WorkerRun,
@@ -495,33 +503,34 @@
             .is_none_or(|answered| now.saturating_duration_since(answered) >= held)
     }
 
-    /// Number up to which ends may be acknowledged.
+    /// Highest number of a run end that may be acknowledged.
     pub fn highest_ackable_end(&self) -> u64 {
         self.withheld_end
             .map_or(self.last_stored_end, |first| self.last_stored_end.min(first.saturating_sub(1)))
     }
 
-    /// Never acknowledges an end whose task was begun again, unless the lease has run out since with
-    /// something running: only that leaves a trace on the worker, and the end stands for good without.
+    /// Withholds the acknowledgement of an end whose task was started again, unless a lease has expired since
+    /// while something was running. Only that is recorded on the worker; without it the end stays on the
+    /// worker's list for good.
     pub fn withhold_ack(&mut self, number: u64) {
         if self.last_lease_expiry < number {
             self.withheld_end = Some(self.withheld_end.map_or(number, |first| first.min(number)));
         }
     }
 
-    /// Room that is not taken.
+    /// Capacity that is not reserved.
     pub fn free(&self) -> ResourceVector {
         self.registration.capacity.saturating_sub(&self.used)
     }
 
-    /// What it holds beyond its room, where that has shrunk.
+    /// Reservations beyond its capacity, where the capacity has shrunk.
     pub fn excess(&self) -> ResourceVector {
         self.used.saturating_sub(&self.registration.capacity)
     }
 
-    /// Whether it may be given new work, its room aside. One that left its last call unanswered may be
-    /// cut off: it is looked at again at once, and a start that it does not get would hold its task for a
-    /// whole lease.
+    /// Whether it may get new work, leaving its free capacity aside. A worker that left its last call
+    /// unanswered may be cut off: it is polled again at once, and a start that does not reach it would block
+    /// its task for a whole lease.
     pub fn accepts_work(&self, now: Instant, silence: Duration) -> bool {
         self.is_registered()
             && self.leaves.is_none()
@@ -534,8 +543,9 @@
             && self.last_answer.is_some_and(|at| now.saturating_duration_since(at) < silence)
     }
 
-    /// What it is good for now. Where an end is withheld, those after it are not acknowledged either, and of a long
-    /// list the last are not shown: it comes last, but a shard of two workers has to use it.
+    /// Its current health rank. Where an end is withheld, the ends after it are not acknowledged either, and
+    /// a long list is cut off at its end. Such a worker is used last, but not excluded, since a shard of two
+    /// workers needs it.
     pub fn rank(&self, now: Instant) -> HealthRank {
         match self.withheld_end {
             Some(_) => self.health.rank(now).max(HealthRank::Doubtful),
@@ -543,30 +553,30 @@
         }
     }
 
-    /// Whether it counts where a job is judged: it is registered, or may be again soon.
+    /// Whether it counts when a job is checked against the workers: it is registered, or may soon be again.
     pub fn counts(&self, now: Instant) -> bool {
         self.registered || self.reregistration_deadline.is_some_and(|until| now < until)
     }
 
-    /// Whether it has the label that a step wants.
+    /// Whether it has the label that a step requires.
     pub fn has_label(&self, step: &StepSpec) -> bool {
         step.label.as_ref().is_none_or(|label| self.registration.labels.contains(label))
     }
 
-    /// Adds a run and takes its room.
+    /// Adds a run and reserves its resources.
     pub fn add_run(&mut self, task: TaskName, run: WorkerRun) {
         self.runs.insert(task, run);
         self.recompute_usage();
     }
 
-    /// Removes a run and gives its room back.
+    /// Removes a run and releases its resources.
     pub fn remove_run(&mut self, task: &TaskName) -> Option<WorkerRun> {
         let removed = self.runs.remove(task);
         self.recompute_usage();
         removed
     }
 
-    /// Number of tasks of a step that hold room here.
+    /// Number of tasks of a step that hold resources here.
     pub fn count_of(&self, job: &str, step: StepKey) -> u32 {
         let same = |task: &&TaskName| &*task.job == job && task.key.step == step;
         u32::try_from(self.runs.keys().filter(same).count()).unwrap_or(u32::MAX)
