--- a/src/graph/answer_time.rs
+++ b/src/graph/answer_time.rs
@@ -1,40 +1,40 @@
-//! How long an answer of a worker is waited for.
+//! Timeout of calls to workers.
 //!
-//! Load it answers: a link or a leader's machine that is full. Answers then take hundreds of milliseconds, and a
-//! fixed wait of 150 ms gave up 10,228 of 12,146 starts, each with its connection, and sent them again into the
-//! full link. Measured as for TCP (RFC 6298): the smoothed time, four times its deviation, doubled while
-//! nothing is answered at all.
+//! It adapts to a saturated link or leader machine. Answers then take hundreds of milliseconds, and a fixed
+//! timeout of 150 ms gave up 10,228 of 12,146 starts, each with its connection, and sent them again into the
+//! saturated link. The timeout is computed as for TCP (RFC 6298): the smoothed answer time plus four times
+//! its deviation, doubled while nothing is answered at all.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Shortest wait: answers take a few milliseconds, and a command that was lost should cost its task this time
-/// only.
+/// Shortest timeout: answers take a few milliseconds, and a lost command should cost its task no more than
+/// this.
 const MIN_WAIT: Duration = Duration::from_millis(150);
-/// Longest wait: a worker's lease of 4.5 s has to outlive two of them.
+/// Longest timeout: a worker's lease of 4.5 s has to outlast two of them.
 const MAX_WAIT: Duration = Duration::from_millis(1_500);
-/// Times that the wait is doubled at most.
+/// Maximum number of doublings of the timeout.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// Measured times of answers, over all workers.
+/// Measured answer times over all workers.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerTime {
     smoothed: Duration,
     deviation: Duration,
     doublings: u32,
-    /// When the wait was doubled last.
+    /// When the timeout was last doubled.
     doubled_at: Option<Instant>,
 }
 
 impl AnswerTime {
-    /// How long an answer is waited for now.
+    /// Current timeout.
     pub fn wait(&self) -> Duration {
         let measured = self.smoothed + self.deviation * 4;
         (measured.max(MIN_WAIT) * (1 << self.doublings)).min(MAX_WAIT)
     }
 
-    /// An answer took this long.
+    /// Notes the time that an answer took.
     pub fn answered(&mut self, took: Duration) {
         self.doublings = 0;
         if self.smoothed.is_zero() {
@@ -46,7 +46,8 @@
         self.smoothed = (self.smoothed * 7 + took) / 8;
     }
 
-    /// No answer came within the wait. Many that were sent together double it once.
+    /// Notes a call without an answer. Many unanswered calls that were sent together double the timeout only
+    /// once.
     pub fn unanswered(&mut self, now: Instant) {
         let wait = self.wait();
         if self.doubled_at.is_none_or(|at| now.saturating_duration_since(at) >= wait) {
--- a/src/graph/begin_evidence.rs
+++ b/src/graph/begin_evidence.rs
@@ -1,6 +1,6 @@
-//! What shows that a task of a job has begun.
+//! Evidence that a task of a job has begun.
 
-/// What a worker said of a run that shows that its task has begun.
+/// Worker report that shows that a task has begun.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum BeginEvidence {
     /// It answered the start.
--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -1,9 +1,9 @@
-//! Which runs a crash of their worker speaks against.
+//! Limits and counts by which tasks that crash their workers are given up.
 //!
-//! A task may crash every worker that starts it, and no worker is left to list such an end. So each run is on
-//! probation until its worker has outlived the start by a while; runs on probation are the suspects of a crash. Those
-//! beside the one that caused it are told apart by where they are started next: no two suspected jobs share a worker
-//! while they are on probation.
+//! A task may crash every worker that starts it, and then no worker is left to report how its run ended. So
+//! each run is on probation until its worker has survived the start for a while, and the runs on probation
+//! are the suspects of a crash. Which of them caused it shows in their later starts: no two suspected jobs
+//! share a worker while they are on probation.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -15,42 +15,48 @@
 use crate::graph::name::{RunNumber, TaskName};
 use crate::id::WorkerId;
 
-/// How long a worker has to outlive a start before the run counts as harmless: tasks that crash their workers do so as
-/// they start, after 10 ms in the logs; one that loads for a second first is covered as well.
+/// Time that a worker has to survive a start before the run counts as harmless. Tasks that crash their
+/// workers do so while they start, after 10 ms in the logs; this also covers a task that loads for a second
+/// first.
 pub(crate) const PROBATION: Duration = Duration::from_secs(1);
-/// How many of the crashes have to be under runs that surely went on until then: one may have any cause.
+/// Minimum number of crashes under runs that were certainly running until then, as a single crash may have
+/// any cause.
 const MIN_CERTAIN_CRASHES: usize = 2;
-/// Crashes from which a task is given up where nothing else explains the last of them. Each costs a worker with all that
-/// runs there.
+/// Crashes after which a task is given up where nothing else explains the last of them. Each crash costs a
+/// worker with all its runs.
 pub(crate) const LONE_CAUSE_CRASH_LIMIT: usize = 2;
-/// The same where other jobs were on probation beside it, or the machine crashes by itself.
+/// The same where other jobs were on probation on the worker, or where the machine crashes by itself.
 pub(crate) const MULTI_CAUSE_CRASH_LIMIT: usize = 3;
-/// The same where other workers went at the same moment: racks that go three times in a row leave it short of this.
+/// The same where other workers fell silent at the same time. A rack that fails three times in a row stays
+/// below this limit.
 pub(crate) const CORRELATED_CRASH_LIMIT: usize = 4;
-/// The same without two such crashes, where all workers were replaced: a run may have ended unheard before its worker went.
+/// The same without `MIN_CERTAIN_CRASHES`, where all workers were replaced: a run may have ended unreported
+/// before its worker crashed.
 const PROVEN_CRASH_LIMIT: usize = 3;
 /// The same where some workers are only silent, or some runs may never have begun.
 const UNCERTAIN_CRASH_LIMIT: usize = 4;
-/// Runs that have to have begun before a task is given up, whatever else is doubtful: a start that is not answered may not
-/// have arrived.
+/// Minimum number of runs that had begun before a task is given up, whatever else is uncertain: a start
+/// without an answer may not have arrived.
 const MIN_BEGUN_RUNS: usize = 2;
-/// Crashes, and silences that may be crashes, from which the next start is spread.
+/// Number of crashes, and of silences that may be crashes, from which the next start is delayed.
 const DELAY_CRASH_COUNT: usize = 2;
-/// Longest pause before a suspected task is started again. Several that start at one moment crash their workers at one
-/// moment, which then looks like a rack that goes: four of them were started in step six times.
+/// Longest hash-based delay of the next start of a suspected task. Several tasks that start at the same time
+/// crash their workers at the same time, which then looks like the failure of a rack: four of them were
+/// started in step six times.
 const MAX_START_SPREAD: Duration = Duration::from_millis(800);
-/// Added to the pause from one more on, and doubled with each further one: doubtful starts alone do not end a job, and may
-/// cost a worker each.
+/// Backoff from one more crash on, doubled with each further one: uncertain starts alone do not end a job,
+/// and may cost a worker each.
 const BACKOFF: Duration = Duration::from_secs(1);
-/// Longest such addition.
+/// Longest backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(8);
-/// Pause where the return of a silent worker would prove the crash that ends the job: a worker that has crashed is back some
-/// seconds after its lease has run out, and each start before that may cost another.
+/// Pause where the return of a silent worker would prove the crash that ends the job. A crashed worker is
+/// back some seconds after its lease has expired, and each start before that may cost another worker.
 const SILENT_WORKER_PAUSE: Duration = Duration::from_secs(5);
-/// Doublings after which the longest is reached.
+/// Number of doublings after which the longest backoff is reached.
 const MAX_DOUBLINGS: usize = 3;
 
-/// Pause before a task is started again under which workers have crashed or may have; it differs from task to task.
+/// Pause before the next start of a task under which workers have crashed or may have crashed. It differs
+/// from task to task.
 pub(crate) fn restart_delay(
     task: &TaskName,
     run: RunNumber,
@@ -69,7 +75,8 @@
     Some(spread + backoff.max(silence_pause))
 }
 
-/// A run that may have crashed its worker, as the store keeps it: the next leader may be the one that hears of it.
+/// A run that may have crashed its worker. It is stored, since the crash may be proven only under the next
+/// leader.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct SuspectRun {
@@ -77,9 +84,9 @@
     pub run: RunNumber,
     /// The worker.
     pub worker: WorkerId,
-    /// Where it answered.
+    /// Address at which the worker answered.
     pub address: SocketAddr,
-    /// Start of its life that the run was sent to.
+    /// Start of the worker instance that the run was sent to.
     #[serde(rename = "born")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub instance_start: InstanceStart,
@@ -92,33 +99,34 @@
     pub(crate) task: TaskName,
     /// Number of the start.
     pub(crate) run: RunNumber,
-    /// Whether it surely ran, and may well have been the cause: its worker had said that it has it and was not told to
-    /// stop it, it cannot have ended unheard, and no task of another job was started there after it.
+    /// Whether it was certainly running and is a likely cause: its worker had reported it as begun and was
+    /// not told to stop it, it cannot have ended unreported, and no task of another job was started there
+    /// after it.
     pub(crate) sure: bool,
-    /// Whether its worker had said that it has it.
+    /// Whether its worker had reported it as begun.
     pub(crate) begun: bool,
 }
 
-/// What is known of the crashes under a task.
+/// Numbers of crashes under a task, by their certainty.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct CrashCount {
-    /// Those under runs that surely went on.
+    /// Crashes under runs that were certainly running.
     pub(crate) sure: usize,
-    /// Those of workers that were surely replaced, under runs that had begun.
+    /// Crashes of workers that were certainly replaced, under runs that had begun.
     pub(crate) proven: usize,
-    /// Those under runs that had begun, and silences that may be such crashes.
+    /// Crashes under runs that had begun, and silences that may be such crashes.
     pub(crate) begun: usize,
-    /// All, and silences that may be crashes.
+    /// All crashes, and silences that may be crashes.
     pub(crate) all: usize,
 }
 
 impl CrashCount {
-    /// Whether one more proof gives the task up, and a silent worker may bring it.
+    /// Whether one more proven crash reaches the limit, and a silent worker may provide it.
     fn needs_one_more_proof(&self) -> bool {
         self.proven + 1 == PROVEN_CRASH_LIMIT && self.begun >= PROVEN_CRASH_LIMIT
     }
 
-    /// Whether the task is to be given up, by the limit that follows from what else explains the last crash.
+    /// Whether the task is to be given up. `limit` follows from what else may explain the last crash.
     pub(crate) fn exceeds_limit(&self, limit: usize) -> bool {
         (self.sure >= MIN_CERTAIN_CRASHES && self.all >= limit)
             || self.proven >= PROVEN_CRASH_LIMIT.max(limit)
@@ -133,6 +141,6 @@
     pub(crate) worker: WorkerId,
     /// Runs on probation there.
     pub(crate) suspects: Vec<CrashSuspect>,
-    /// Crashes from which a suspect is given up, this one counted.
+    /// Number of crashes, including this one, from which a suspect is given up.
     pub(crate) limit: usize,
 }
--- a/src/graph/crash_table.rs
+++ b/src/graph/crash_table.rs
@@ -1,7 +1,8 @@
-//! Crashes of workers: which of them are proven, and what speaks against which run.
+//! Crashes of workers: which crashes are proven, and which runs are suspected of them.
 //!
-//! A crash is proven by the next life that answers at the worker's address, which may come after its lease has run out
-//! and its runs were given up. What else may explain it decides how many more such crashes a suspect may see.
+//! A crash is proven by the next instance that answers at the worker's address, possibly after the worker's
+//! lease has expired and its runs were given up. What else may explain the crash decides how many further
+//! crashes a suspect is allowed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,16 +19,17 @@
 use crate::graph::worker::{RunPhase, WorkerInstance, WorkerRun};
 use crate::id::WorkerId;
 
-/// Workers that fall silent this close to each other have one cause: a rack, a switch or a cut. Calls to a worker that
-/// has crashed break within some milliseconds.
+/// Workers that fall silent within this time have a common cause: a rack, a switch or a network partition.
+/// Calls to a crashed worker fail within some milliseconds.
 const CORRELATION_WINDOW: Duration = Duration::from_millis(50);
-/// A start that came this much later than another is the likelier cause of a crash. Of 18 tasks that ran beside the
-/// first starts of six that crash their workers, two were given up without.
+/// A start that came this much later than another is the more likely cause of a crash. Without this rule, two
+/// of 18 tasks that ran beside the first starts of six crashing tasks were given up.
 const LIKELY_CAUSE_DELAY: Duration = Duration::from_millis(100);
-/// How long a machine that has crashed may do so by itself again: workers that go up and down by turns do for 30 s.
+/// How long a machine that has crashed is expected to crash by itself again: workers that go up and down in
+/// turns do so for 30 s.
 const MACHINE_CRASH_RETENTION: Duration = Duration::from_secs(30);
-/// How long runs that were given up are remembered for the proof that their worker had crashed: it is back seconds
-/// after its crash, and registers within one heartbeat.
+/// How long given-up runs are kept until a proof that their worker had crashed: it is back seconds after its
+/// crash, and registers within one heartbeat.
 const SILENT_RUN_RETENTION: Duration = Duration::from_secs(60);
 
 /// Runs on probation that were given up with a worker that may have crashed under them.
@@ -35,7 +37,7 @@
 struct SilentInstance {
     address: SocketAddr,
     given_up_at: Instant,
-    /// When calls began to fail; `None` for one of an earlier leader's time.
+    /// When calls began to fail; `None` for a worker that fell silent under an earlier leader.
     failing_since: Option<Instant>,
     suspects: Vec<CrashSuspect>,
 }
@@ -44,22 +46,22 @@
 #[derive(Debug, Default)]
 pub(crate) struct CrashTable {
     silent_instances: BTreeMap<InstanceId, SilentInstance>,
-    /// The last crash of the machine at an address.
+    /// Last crash of the machine at each address.
     machine_crashes: BTreeMap<SocketAddr, MachineCrash>,
 }
 
-/// A crash, as the machine's later ones are weighed by it.
+/// Last crash of a machine, kept to assess its later ones.
 #[derive(Debug)]
 struct MachineCrash {
-    /// When it was noticed.
+    /// When the crash was noticed.
     noticed: Instant,
     /// When calls began to fail, where that is known.
     failing_since: Option<Instant>,
-    /// Whether nothing had been started there that could have caused it.
+    /// Whether nothing had been started there that could have caused the crash.
     spontaneous: bool,
 }
 
-/// A crash as it shows, before it is known what else may have caused it.
+/// A proven crash whose other possible causes are still to be assessed.
 struct ProvenCrash {
     worker: WorkerId,
     address: SocketAddr,
@@ -69,8 +71,8 @@
 }
 
 impl CrashTable {
-    /// A run on probation was given up with the lease of a worker that is silent, or was begun by an earlier leader.
-    /// Calls to that worker have failed since `moment`.
+    /// Notes a run on probation that was given up with the lease of a silent worker, or that was started by
+    /// an earlier leader. Calls to the worker have failed since `failing_since`.
     pub(crate) fn note_suspect_run(
         &mut self,
         now: Instant,
@@ -92,7 +94,8 @@
         instance.suspects.push(CrashSuspect { task, run, sure: false, begun: false });
     }
 
-    /// A life of a worker answers: where it was silent it has not crashed, and other lives that were have.
+    /// Handles an answer of a worker's instance: this instance has not crashed, and any other instance of the
+    /// worker that was silent has. Returns those crashes.
     pub(crate) fn handle_answer(
         &mut self,
         now: Instant,
@@ -109,7 +112,8 @@
             .collect()
     }
 
-    /// A life of a worker has crashed; other workers have been silent since the moments given.
+    /// Notes the crash of a worker's instance. `silent` holds the times since which other workers have been
+    /// silent.
     pub(crate) fn note_crash(
         &mut self,
         now: Instant,
@@ -130,7 +134,8 @@
         self.assess_crash(now, ProvenCrash { worker, address, failing_since, suspects }, silent)
     }
 
-    /// Another worker answers at an address: those that went silent there, and were not heard of again, have crashed.
+    /// Handles the first answer of a worker at an address: silent workers at that address that are no longer
+    /// known have crashed. Returns those crashes.
     pub(crate) fn handle_successor(
         &mut self,
         now: Instant,
@@ -145,7 +150,7 @@
         gone.into_iter().map(|(id, instance)| self.confirm_crash(now, id, instance)).collect()
     }
 
-    /// A life that was silent has surely crashed.
+    /// Confirms that a silent instance has crashed.
     fn confirm_crash(
         &mut self,
         now: Instant,
@@ -160,7 +165,7 @@
         )
     }
 
-    /// Whether the machine at an address has crashed lately.
+    /// Whether the machine at an address has crashed recently.
     pub(crate) fn crashed_lately(&self, now: Instant, address: &SocketAddr) -> bool {
         self.machine_crashes.get(address).is_some_and(|crash| crash.is_recent(now))
     }
@@ -207,7 +212,7 @@
 }
 
 impl CrashSuspect {
-    /// A run on probation of a worker that has crashed.
+    /// Creates a suspect from a run on probation on a crashed worker.
     fn new(now: Instant, task: &TaskName, run: &WorkerRun, instance: &WorkerInstance) -> Self {
         let stopping = matches!(run.phase, RunPhase::Stopping { .. });
         let started_after = |(other, later): (&TaskName, &WorkerRun)| {
--- a/src/graph/exchange.rs
+++ b/src/graph/exchange.rs
@@ -171,9 +171,9 @@
     Ticket,
     /// Another instance of the worker received the call.
     OtherLife,
-    /// It reports itself as unhealthy.
+    /// It is overloaded or unavailable for now.
     Unwell,
-    /// It cannot parse the call or finds it invalid.
+    /// It rejects the call as invalid.
     Invalid,
 }
 
--- a/src/graph/health.rs
+++ b/src/graph/health.rs
@@ -1,7 +1,7 @@
-//! Whether a worker can be trusted with work, from what became of the work it has.
+//! Health of a worker, judged by the outcomes and the speed of its runs.
 //!
-//! Load it answers: workers that fail, hold or slow down whatever they start while they look healthy.
-//! Of 48 workers three such touch nearly half of all jobs of ten tasks.
+//! It is needed for workers that fail, block or slow down everything they start while they report themselves
+//! as healthy. Of 48 workers, three such workers affect nearly half of all jobs of ten tasks.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,43 +10,43 @@
 
 use crate::graph::name::GraphId;
 
-/// Failed runs of different jobs, without one that succeeded between, from which a worker is at fault:
-/// one in twenty runs fails by its own fault, so a sound worker is suspected wrongly once in 400 ends.
+/// Number of different jobs with failed runs, without a success in between, from which a worker is faulty.
+/// One in twenty runs fails through its own fault, so a healthy worker is suspected wrongly once in 400 ends.
 const FAULTY_JOB_COUNT: usize = 2;
-/// How long a worker at fault is given no new work, doubled with each further job that fails there.
+/// How long a faulty worker gets no new work, doubled with each further job that fails there.
 const FAULTY_PAUSE: Duration = Duration::from_millis(1_500);
-/// Longest such pause: the troubles that our users know last 4 to 7 s.
+/// Longest such pause: the known disturbances last 4 to 7 s.
 const MAX_FAULTY_PAUSE: Duration = Duration::from_secs(6);
-/// How long a failure casts doubt on a worker.
+/// How long a worker counts as doubtful after a failure.
 const DOUBTFUL_TIME: Duration = Duration::from_secs(8);
-/// Time of work after which a measured speed counts for two thirds.
+/// Working time after which new measurements make up two thirds of the speed.
 const SPEED_DECAY_TIME: Duration = Duration::from_millis(1_000);
-/// Speed, against what callers declare, below which a worker is slow. Declared run times are off by a
+/// Speed, relative to declared run times, below which a worker is slow. Declared run times are off by a
 /// factor of three in one step of ten; slow workers are slower by a factor of four to eight.
 const SLOW_SPEED: f64 = 0.35;
-/// Speed below which work stands still.
+/// Speed below which work counts as stalled.
 const STALLED_SPEED: f64 = 0.04;
-/// How long a measured speed holds without another.
+/// How long a measured speed stays valid without a new measurement.
 const SPEED_VALIDITY: Duration = Duration::from_secs(3);
 
-/// What a worker is good for, best first.
+/// Health of a worker, best first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum HealthRank {
-    /// Nothing speaks against it.
+    /// No fault is known.
     Sound,
-    /// It is slow, or something failed there: it comes last.
+    /// It is slow, or a run failed there: it is used last.
     Doubtful,
-    /// Work fails or stands still there: it gets none for now.
+    /// Work fails or stalls there: it gets no new work for now.
     Faulty,
 }
 
-/// What is known of one worker's work.
+/// Outcomes and speed of one worker's runs.
 #[derive(Clone, Debug)]
 pub struct WorkerHealth {
     /// Jobs with failed runs since the last run that succeeded.
     failed_jobs: BTreeSet<GraphId>,
     failed_at: Option<Instant>,
-    /// Work done in a second, against what callers declare.
+    /// Work done per second, relative to declared run times.
     speed: f64,
     measured_at: Option<Instant>,
 }
@@ -58,19 +58,20 @@
 }
 
 impl WorkerHealth {
-    /// A run failed.
+    /// Notes a failed run.
     pub(crate) fn note_failure(&mut self, now: Instant, job: &GraphId) {
         self.failed_jobs.insert(job.clone());
         self.failed_at = Some(now);
     }
 
-    /// A run succeeded.
+    /// Notes a successful run.
     pub(crate) fn note_success(&mut self) {
         self.failed_jobs.clear();
         self.failed_at = None;
     }
 
-    /// Runs have done `work`, by what their callers declare, in `time`, summed over all of them.
+    /// Notes that runs have done `work`, in terms of declared run times, in `time`, both summed over all
+    /// runs.
     pub(crate) fn note_work(&mut self, now: Instant, work: Duration, time: Duration) {
         if time.is_zero() {
             return;
@@ -81,13 +82,13 @@
         self.measured_at = Some(now);
     }
 
-    /// Work done in a second, against what callers declare, where that was measured lately.
+    /// Work done per second, relative to declared run times; `None` without a recent measurement.
     pub(crate) fn speed(&self, now: Instant) -> Option<f64> {
         let fresh = |at: &Instant| now.saturating_duration_since(*at) < SPEED_VALIDITY;
         self.measured_at.as_ref().filter(|at| fresh(at)).map(|_| self.speed)
     }
 
-    /// What the worker is good for now.
+    /// Current health rank of the worker.
     pub fn rank(&self, now: Instant) -> HealthRank {
         let since = self.failed_at.map(|at| now.saturating_duration_since(at));
         match (since, self.speed(now)) {
--- a/src/graph/notice.rs
+++ b/src/graph/notice.rs
@@ -1,7 +1,8 @@
-//! What the leader of one shard has to tell that of another, through the store.
+//! Notices from the leader of one shard to that of another, through the store.
 //!
-//! A notice stands in the store until the other leader has stored what follows from it; it is removed in the
-//! same group. So none is lost with a leader, and none is acted on by one that has been succeeded.
+//! A notice stays in the store until the receiving leader has stored what follows from it, and is removed in
+//! the same group. So no notice is lost with a leader, and a leader that has been succeeded cannot act on
+//! one.
 
 use std::collections::BTreeSet;
 
@@ -14,26 +15,26 @@
 pub enum NoticeKind {
     /// Run a share of a job's tasks.
     Start,
-    /// The job is over: its other shards stop it.
+    /// The job has ended: the other shards stop it.
     Cancel,
-    /// A task of a share has been given up: the job has failed, and its owner ends it everywhere.
+    /// A task of a share was given up: the job has failed, and its owner ends it in all shards.
     Fail,
 }
 
 /// A notice to send.
 #[derive(Clone, Debug)]
 pub struct ShardNotice {
-    /// The shard that it is for.
+    /// The receiving shard.
     pub shard: ShardId,
     /// The job.
     pub job: GraphId,
-    /// What it says.
+    /// Kind of the notice.
     pub kind: NoticeKind,
-    /// The job with its shares, where it is to start.
+    /// The job with its shares, for a notice of kind `Start`.
     pub record: Option<GraphRecord>,
 }
 
-/// Notices that wait for a group.
+/// Notices that wait to be written with a group.
 #[derive(Debug, Default)]
 pub(crate) struct NoticeQueue {
     sent: BTreeSet<(GraphId, ShardId, NoticeKind)>,
@@ -41,12 +42,12 @@
 }
 
 impl NoticeQueue {
-    /// A shard has to be told of a job.
+    /// Queues a notice about a job to a shard.
     pub(crate) fn send(&mut self, job: GraphId, shard: ShardId, kind: NoticeKind) {
         self.sent.insert((job, shard, kind));
     }
 
-    /// What follows from a notice to this shard is stored.
+    /// Queues the removal of a notice to this shard, to be stored together with what follows from the notice.
     pub(crate) fn settle(&mut self, job: GraphId, kind: NoticeKind) {
         self.settled.insert((job, kind));
     }
@@ -55,12 +56,12 @@
         self.sent.is_empty() && self.settled.is_empty()
     }
 
-    /// Takes notices to send, at most as many as there is room for.
+    /// Takes at most `limit` notices to send, and lowers `limit` by their number.
     pub(crate) fn take_sent(&mut self, limit: &mut usize) -> Vec<(GraphId, ShardId, NoticeKind)> {
         pop_up_to(&mut self.sent, limit)
     }
 
-    /// Takes notices to remove, at most as many as there is room for.
+    /// Takes at most `limit` notices to remove, and lowers `limit` by their number.
     pub(crate) fn take_settled(&mut self, limit: &mut usize) -> Vec<(GraphId, NoticeKind)> {
         pop_up_to(&mut self.settled, limit)
     }
--- a/src/graph/remote_workers.rs
+++ b/src/graph/remote_workers.rs
@@ -1,7 +1,7 @@
-//! Workers of the other shards, as far as a leader has to know them.
+//! Workers of other shards, as far as a leader needs to know them.
 //!
-//! Load it answers: lasting jobs of up to 240 tasks, one a worker, of which a third of a shard's 220 workers
-//! may run them, and jobs whose data or kind of worker is in another shard.
+//! They are needed for lasting jobs of up to 240 tasks, one per worker, when only a third of a shard's 220
+//! workers may run them, and for jobs whose data or kind of worker is in another shard.
 
 use std::collections::BTreeMap;
 
@@ -15,28 +15,28 @@
 use crate::graph::spec::{GraphSpec, StepSpec};
 use crate::id::WorkerId;
 
-/// Workers for each task of a lasting step below which its tasks are shared out: advice allows a third of
-/// the workers, and half of these have other work of the same urgency.
+/// Number of workers for each task of a lasting step below which its tasks are divided among shards: advice
+/// allows a third of the workers, and half of these have other work of the same urgency.
 const WORKERS_PER_TASK: usize = 5;
-/// Shards that a job is shared among at most: each has to store it.
+/// Maximum number of shards that a job is divided among, as each of them has to store it.
 const MAX_SHARES: usize = 16;
 
-/// Registrations of workers that other leaders have.
+/// Registrations of workers of other leaders.
 #[derive(Debug, Default)]
 pub(crate) struct RemoteWorkerTable {
     workers: BTreeMap<WorkerId, (ShardId, WorkerRegistration)>,
-    /// Those that are gone and may come back, and until when they count.
+    /// Registrations that have gone and may come back, with the time until which they count.
     expired: BTreeMap<WorkerId, (Instant, ShardId, WorkerRegistration)>,
 }
 
 impl RemoteWorkerTable {
-    /// A worker of another shard has registered or changed its registration.
+    /// Notes that a worker of another shard has registered or changed its registration.
     pub(crate) fn register(&mut self, shard: ShardId, registration: WorkerRegistration) {
         self.expired.remove(&registration.id);
         self.workers.insert(registration.id.clone(), (shard, registration));
     }
 
-    /// A registration has gone. Its worker counts on for a while, unless it leaves.
+    /// Notes that a registration has gone. The worker still counts for a while, unless it is leaving.
     pub(crate) fn unregister(&mut self, now: Instant, id: &WorkerId) {
         if let Some((shard, registration)) = self.workers.remove(id)
             && registration.leaving.is_none()
@@ -50,13 +50,13 @@
         self.expired.retain(|_, (until, ..)| now < *until);
     }
 
-    /// Workers that count, and their shards.
+    /// Workers that count, with their shards.
     fn known_workers(&self) -> impl Iterator<Item = (&ShardId, &WorkerRegistration)> {
         let present = self.workers.values().map(|(shard, registration)| (shard, registration));
         present.chain(self.expired.values().map(|(_, shard, registration)| (shard, registration)))
     }
 
-    /// The shard that a job is better placed in than here: the one with most of its data, or else one with
+    /// Returns a better shard for a job than this one: the shard with most of its data, or else a shard with
     /// workers for all its steps where this one lacks some.
     pub(crate) fn better_shard<'w>(
         &self,
@@ -78,7 +78,7 @@
         shards.iter().filter(|shard| **shard != scope.shard).find(has_all_workers).cloned()
     }
 
-    /// The shard whose racks most tasks of a job have their data in.
+    /// Returns the shard whose racks hold the data of most tasks of a job.
     fn shard_of_data<'w>(
         &self,
         scope: &ShardScope,
@@ -105,8 +105,8 @@
         tasks.into_iter().max_by_key(|(_, count)| *count).map(|(shard, _)| shard)
     }
 
-    /// How many workers the tasks of a lasting job may use in each shard, where it is too wide for this one
-    /// alone; `own` are the workers here.
+    /// Returns how many workers in each shard the tasks of a lasting job may use, where the job is too wide
+    /// for this shard alone. `own` are the workers of this shard.
     pub(crate) fn weights<'w>(
         &self,
         scope: &ShardScope,
--- a/src/graph/shard.rs
+++ b/src/graph/shard.rs
@@ -1,8 +1,9 @@
-//! How the workers of a deployment are divided among leaders.
+//! Division of a deployment's workers among leaders.
 //!
-//! Load it answers: 1,100 workers with 1,900 starts a second. One leader with half a core served a quarter of
-//! a quiet day there, as each call waited behind a thousand others. A shard is a failure domain, or a share
-//! of its racks where one leader cannot carry the domain; a rack is never divided, since gangs want one.
+//! It is needed for deployments of 1,100 workers with 1,900 starts a second. There, one leader with half a
+//! core served a quarter of a quiet day's load, as each call waited behind a thousand others. A shard is a
+//! failure domain, or a share of its racks where one leader cannot handle the domain. A rack is never
+//! divided, since a gang may have to run within a single rack.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,38 +13,40 @@
 use crate::graph::name::GraphId;
 use crate::id::{DomainId, EntryId, RackId};
 
-/// Name of a part of the workers that has a leader of its own; empty where there is only one.
+/// Name of a shard, a part of the workers with its own leader; empty where there is only one leader.
 pub type ShardId = Arc<str>;
 
-/// Workers that a leader carries for each core that its machine has: a leader of 350 workers used 0.17 of its
-/// half core on the mean of a day with bursts of 700 starts a second, and all of it in a burst.
+/// Number of workers that a leader can handle for each core of its machine. A leader of 350 workers used 0.17
+/// of its half core on average over a day with bursts of 700 starts a second, and all of it in a burst.
 const WORKERS_PER_CORE: f64 = 800.0;
-/// Workers of a shard at least, whatever its leader's machine: of two kinds of workers, of which advice allows
-/// a third, a step has 16 to choose from. In shards of 33 gangs of four waited for good on five days of seven.
+/// Minimum number of workers in a shard, whatever its leader's machine. With two kinds of workers, of which
+/// advice allows a third, a step then has 16 to choose from. In shards of 33 workers, gangs of four waited
+/// for good on five days of seven.
 const MIN_SHARD_SIZE: usize = 100;
 /// Separates a failure domain from the number of a share of its racks.
 const PART_SEPARATOR: char = '.';
 
-/// The division of a deployment's workers; it is stored once, and all entries follow it.
+/// Division of a deployment's workers into shards. It is stored once, and all entries follow it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct ShardPlan {
-    /// Shards of each failure domain; empty where one leader has all workers.
+    /// Number of shards of each failure domain; empty where one leader has all workers.
     domains: BTreeMap<DomainId, u32>,
 }
 
 impl ShardPlan {
-    /// One leader for all workers.
+    /// A plan with one leader for all workers.
     pub fn undivided() -> Self {
         Self::default()
     }
 
-    /// A number of shards for each failure domain.
+    /// A plan with the given number of shards for each failure domain.
     pub fn by_domain(domains: BTreeMap<DomainId, u32>) -> Self {
         Self { domains }
     }
 
-    /// The division for workers counted by failure domain, where the best machines have `processor` cores.
+    /// Computes the plan for the number of workers in each failure domain, where the best machines have
+    /// `cores` cores.
     pub fn for_fleet(workers: &BTreeMap<DomainId, usize>, cores: f64) -> Self {
         let leader_capacity = (WORKERS_PER_CORE * cores).max(1.0) as usize;
         let smallest_domain = workers.values().min().copied().unwrap_or_default();
@@ -75,7 +78,8 @@
         self.domains.iter().flat_map(of_domain).collect()
     }
 
-    /// The shard of a rack. Workers of a failure domain that came later than the division belong to any.
+    /// Returns the shard of a rack. A failure domain that was added after the plan was made belongs to one of
+    /// the existing shards.
     pub fn shard_of(&self, domain: &DomainId, rack: &RackId) -> ShardId {
         match self.domains.get(domain) {
             Some(parts) => shard_name(domain, *parts, hash_bucket(rack, *parts)),
@@ -83,7 +87,7 @@
         }
     }
 
-    /// The failure domain of a shard, and which of the domain's shards it is.
+    /// Returns the failure domain of a shard, and the index of the shard in it.
     pub fn domain_and_index(&self, shard: &ShardId) -> Option<(&DomainId, u32)> {
         self.domains.iter().find_map(|(domain, parts)| {
             let part = (0..*parts).find(|part| shard_name(domain, *parts, *part) == *shard);
@@ -91,8 +95,8 @@
         })
     }
 
-    /// Shards that may take a job which came in at a failure domain, nearest first. All entries give the
-    /// same order, and jobs of a domain without a leader are spread over all others.
+    /// Returns the shards that may accept a job submitted in a failure domain, nearest first. All entries
+    /// compute the same order, and jobs of a domain without a leader are spread over all other shards.
     pub fn shard_order(&self, domain: &DomainId, job: &GraphId) -> Vec<ShardId> {
         let mut shards = self.shards();
         let count = u32::try_from(shards.len()).unwrap_or(1);
@@ -104,8 +108,8 @@
         shards
     }
 
-    /// Whether an entry makes calls for advice for a shard: each leader has entries of its own, as the
-    /// advisor answers one call of a machine at a time.
+    /// Whether an entry makes advice calls for a shard. Each leader has entries of its own, as the advisor
+    /// answers only one call of a machine at a time.
     pub fn is_advised_by(&self, shard: &ShardId, entry: &EntryId, domain: &DomainId) -> bool {
         match self.domain_and_index(shard) {
             Some((shard_domain, part)) => {
@@ -133,24 +137,24 @@
     }
 }
 
-/// A number below `count` that follows from a name alone.
+/// Maps a name to a number below `count`, by its hash.
 fn hash_bucket(name: &str, count: u32) -> u32 {
     let hash = blake3::hash(name.as_bytes());
     let [a, b, c, d, ..] = *hash.as_bytes();
     u32::from_be_bytes([a, b, c, d]) % count.max(1)
 }
 
-/// The part of the workers that one leader has.
+/// The shard of one leader within a plan.
 #[derive(Clone, Debug, Default)]
 pub struct ShardScope {
-    /// The division.
+    /// The plan.
     pub plan: Arc<ShardPlan>,
     /// The leader's shard.
     pub shard: ShardId,
 }
 
 impl ShardScope {
-    /// One shard of a division.
+    /// Creates the scope of one shard of a plan.
     pub fn new(plan: Arc<ShardPlan>, shard: ShardId) -> Self {
         Self { plan, shard }
     }
--- a/src/graph/share.rs
+++ b/src/graph/share.rs
@@ -1,36 +1,37 @@
-//! Which tasks of a job one shard runs, where the job is wider than a shard.
+//! Division of a job's tasks among shards, where the job is wider than a shard.
 
 use serde::{Deserialize, Serialize};
 
 use crate::graph::shard::ShardId;
 
-/// Shares are told in parts of a step's tasks, so that they hold for steps of any number of tasks.
+/// Shares are given in ten-thousandths of a step's tasks, so that they apply to steps with any number of
+/// tasks.
 const SHARE_SCALE: u32 = 10_000;
 
-/// A shard's part of all tasks, from one place to before another, out of 10,000.
+/// Range of the tasks that a shard runs, in ten-thousandths (out of 10,000) of a step.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct ShareRange {
     /// The shard.
     pub shard: ShardId,
-    /// First place.
+    /// Start of the range.
     pub from: u32,
-    /// Place after the last.
+    /// End of the range, exclusive.
     pub to: u32,
 }
 
-/// How the tasks of a job are shared out: each task belongs to exactly one shard.
+/// Division of a job's tasks; each task belongs to exactly one shard.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct TaskShare {
-    /// The shard whose leader accepted the job, and answers for it.
+    /// The shard whose leader accepted the job and owns it.
     pub owner: ShardId,
     /// All shares.
     pub ranges: Vec<ShareRange>,
 }
 
 impl TaskShare {
-    /// Shares the tasks out by weights, of which there is at least one above 0.
+    /// Divides the tasks by weights, at least one of which is above 0.
     pub fn new(owner: ShardId, weights: &[(ShardId, usize)]) -> Self {
         let total_weight = weights.iter().map(|(_, weight)| *weight as u64).sum::<u64>().max(1);
         let mut weight_sum = 0;
@@ -48,16 +49,18 @@
         Self { owner, ranges }
     }
 
-    /// Whether a shard runs the task with a number among `count`.
+    /// Whether a shard runs the task `index` of a step of `count` tasks.
     pub fn holds(&self, shard: &ShardId, index: u32, count: u32) -> bool {
         let position = u64::from(index) * u64::from(SHARE_SCALE) / u64::from(count.max(1));
         let covers = |range: &ShareRange| {
-            u64::from(range.from) <= position && position < u64::from(range.to) && range.shard == *shard
+            u64::from(range.from) <= position
+                && position < u64::from(range.to)
+                && range.shard == *shard
         };
         self.ranges.iter().any(covers)
     }
 
-    /// The shards beside the owner that run some.
+    /// The shards other than the owner that run tasks.
     pub fn others(&self) -> impl Iterator<Item = &ShardId> {
         self.ranges.iter().map(|range| &range.shard).filter(|shard| **shard != self.owner)
     }
--- a/src/graph/worker_event.rs
+++ b/src/graph/worker_event.rs
@@ -1,4 +1,4 @@
-//! What workers' answers, or their silence, say of runs.
+//! Events of runs and workers that follow from workers' answers or their silence.
 
 use std::time::Duration;
 
@@ -10,36 +10,37 @@
 use crate::graph::worker::{InstanceEnd, WorkerRun};
 use crate::id::WorkerId;
 
-/// What an answer, or its absence, says of runs.
+/// An event that follows from an answer or from its absence.
 #[derive(Debug)]
 pub(crate) enum WorkerEvent {
     /// A run ended.
     Ended(WorkerId, EndReport),
-    /// A run that this leader has not started.
+    /// A worker lists a run that this leader has not started.
     Unknown(WorkerId, RunReport),
-    /// A run that another life of the worker may still begin, though it does not list it.
+    /// A run may still be begun by another instance of its worker, though that does not list it.
     InDoubt(WorkerId, TaskName, RunNumber),
-    /// A run that the worker does not have any more, or never got.
+    /// A run is no longer on its worker, or never arrived there.
     Lost(WorkerId, LostRun),
-    /// A run that may have gone on or ended when its worker's lease was over; on probation, it may have crashed it.
+    /// A run was given up with its worker's lease, and may have gone on or ended until then. A run on
+    /// probation may have crashed the worker.
     GivenUp(WorkerId, LostRun, Option<SuspectRun>),
-    /// A run that was sent is there.
+    /// A worker has confirmed a run that was sent.
     Confirmed(WorkerId, TaskName, RunNumber),
-    /// The worker obeys a later leader.
+    /// The worker follows a later leader.
     Deposed(WorkerId),
-    /// The worker answered for the first time under this leader.
+    /// The worker has answered this leader for the first time.
     Claimed(WorkerId),
-    /// This life of the worker is over.
+    /// The instance of the worker has ended.
     Over(WorkerId, InstanceEnd),
     /// A worker has crashed.
     Crashed(WorkerCrash),
-    /// A worker is silent: a run on probation that had begun there may have crashed it.
+    /// A worker is silent, and a run on probation that had begun there may have crashed it.
     Doubted(TaskName, SuspectRun),
-    /// The worker of a run has outlived its start.
+    /// The worker has survived the start of a run.
     Survived(TaskName, RunNumber),
 }
 
-/// A run that is gone without an end that its worker told.
+/// A run that is gone without an end reported by its worker.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct LostRun {
     /// The task.
@@ -48,9 +49,9 @@
     pub(crate) run: RunNumber,
     /// Last checkpoint; empty where there is none.
     pub(crate) checkpoint: String,
-    /// How long after the run's start its worker was last heard; zero where it was not.
+    /// How long after the run's start its worker last answered; zero if it did not.
     pub(crate) survived: Duration,
-    /// Whether its worker had said that it has it.
+    /// Whether its worker had reported it as begun.
     pub(crate) begun: bool,
 }
 
