--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -65,14 +65,15 @@
     let extra_crashes = count.all.checked_sub(DELAY_CRASH_COUNT)?;
     let mut hasher = DefaultHasher::new();
     (task, run).hash(&mut hasher);
-    let spread = MAX_START_SPREAD * u32::try_from(hasher.finish() % 1_000).unwrap_or(0) / 1_000;
+    let start_delay =
+        MAX_START_SPREAD * u32::try_from(hasher.finish() % 1_000).unwrap_or(0) / 1_000;
     let backoff = match extra_crashes {
         0 => Duration::ZERO,
         more => (BACKOFF * (1 << (more - 1).min(MAX_DOUBLINGS))).min(MAX_BACKOFF),
     };
     let silence_pause =
         if count.needs_one_more_proof() { SILENT_WORKER_PAUSE } else { Duration::ZERO };
-    Some(spread + backoff.max(silence_pause))
+    Some(start_delay + backoff.max(silence_pause))
 }
 
 /// A run that may have crashed its worker. It is stored, since the crash may be proven only under the next
--- a/src/graph/crash_table.rs
+++ b/src/graph/crash_table.rs
@@ -220,8 +220,8 @@
                 && later.probation.is_some()
                 && later.since >= run.since + LIKELY_CAUSE_DELAY
         };
-        let went_on = instance.was_certainly_running(run, now);
-        let sure = went_on && !stopping && !instance.runs.iter().any(started_after);
+        let was_running = instance.was_certainly_running(run, now);
+        let sure = was_running && !stopping && !instance.runs.iter().any(started_after);
         Self { task: task.clone(), run: run.run, sure, begun: run.begun }
     }
 }
--- a/src/graph/instances.rs
+++ b/src/graph/instances.rs
@@ -207,20 +207,20 @@
             instance.polling = Some(now);
             // The lease of an idle worker without registration is not extended: otherwise it would never
             // expire and the worker would be polled for good.
-            let used = instance.registered || !instance.runs.is_empty();
+            let is_used = instance.registered || !instance.runs.is_empty();
             // Another instance numbers its ends anew: acknowledged by a number of this one, its first ends
             // would be dropped unread.
             let same_instance =
                 instance.last_poll_answer.is_some_and(|at| now - at <= SAME_INSTANCE_TIME);
-            let until = match extend && used && instance.misses == 0 {
+            let until = match extend && is_used && instance.misses == 0 {
                 true => instance.extend_lease(now, WORKER_LEASE),
                 false => None,
             };
             instance.offered_lease_end = until;
             let ends_stored =
                 instance.last_stored_end == instance.last_end && instance.withheld_end.is_none();
-            let current = instance.claimed && ends_stored && instance.misses == 0;
-            let wait = match current {
+            let may_wait = instance.claimed && ends_stored && instance.misses == 0;
+            let wait = match may_wait {
                 true if instance.runs.is_empty() => IDLE_WAIT,
                 true => busy_wait,
                 false => Duration::ZERO,
@@ -258,7 +258,7 @@
             && first > instance.last_end + 1
         {
             let (after, worker) = (instance.last_end, &**id);
-            warn!(worker, after, first; "ends of a worker are missing from its list");
+            warn!(worker, after, first; "run ends are missing from the list of a worker");
             metrics::counter!("kelplink_missing_ends_total").increment(first - after - 1);
         }
         for end in reply.ended {
@@ -281,7 +281,7 @@
         if reply.clock < instance.snapshot {
             let (newest, clock) = (instance.snapshot.as_millis(), reply.clock.as_millis());
             if !std::mem::replace(&mut instance.list_outdated, true) {
-                warn!(worker = &**id, newest_ms = newest as u64, clock_ms = clock as u64; "a list of runs is older than one before");
+                warn!(worker = &**id, newest_ms = newest as u64, clock_ms = clock as u64; "list of runs is older than a previous list of the worker");
             }
             metrics::counter!("kelplink_overtaken_lists_total").increment(1);
         } else {
@@ -420,11 +420,11 @@
             if instance.runs.is_empty() || !instance.is_lease_expired(now) {
                 continue;
             }
-            let over = instance
+            let ended = instance
                 .runs
                 .iter()
                 .filter(|(_, run)| instance.has_certainly_ended(run, now, longest));
-            let tasks: Vec<TaskName> = over.map(|(task, _)| task.clone()).collect();
+            let tasks: Vec<TaskName> = ended.map(|(task, _)| task.clone()).collect();
             for task in tasks {
                 if let Some(run) = instance.remove_run(&task) {
                     let suspect_run = instance.suspect_run(&run);
@@ -447,13 +447,14 @@
     /// Removes workers that are not registered and can run nothing any more. Once everything from before this
     /// leader's term has ended (`settled`), this includes workers that have never answered.
     pub(crate) fn remove_vanished(&mut self, now: Instant, settled: bool) -> Vec<WorkerEvent> {
-        let gone = |instance: &&WorkerInstance| {
-            let over = if instance.claimed { instance.is_lease_expired(now) } else { settled };
+        let is_gone = |instance: &&WorkerInstance| {
+            let can_run_nothing =
+                if instance.claimed { instance.is_lease_expired(now) } else { settled };
             let expected = instance.misses == 0 && instance.counts(now);
-            !instance.registered && !expected && instance.runs.is_empty() && over
+            !instance.registered && !expected && instance.runs.is_empty() && can_run_nothing
         };
         let gone: Vec<WorkerId> =
-            self.instances.values().filter(gone).map(|instance| instance.id().clone()).collect();
+            self.instances.values().filter(is_gone).map(|instance| instance.id().clone()).collect();
         gone.iter().flat_map(|id| self.end_instance(id, InstanceEnd::Vanished)).collect()
     }
 
@@ -541,7 +542,7 @@
         }
     }
     instance.health.note_work(now, work, time);
-    let gone = |(task, run): &(&TaskName, &WorkerRun)| {
+    let is_gone = |(task, run): &(&TaskName, &WorkerRun)| {
         let since = match run.phase {
             // A worker refuses a start once the time that it is valid for has passed on its clock. Without
             // this rule, a worker that answered polls but neither starts nor stops held a task for good.
@@ -555,7 +556,7 @@
         since < clock && listed.get(*task) != Some(&run.run)
     };
     let gone: Vec<TaskName> =
-        instance.runs.iter().filter(gone).map(|(task, _)| task.clone()).collect();
+        instance.runs.iter().filter(is_gone).map(|(task, _)| task.clone()).collect();
     for task in gone {
         if let Some(run) = instance.remove_run(&task) {
             events.push(WorkerEvent::Lost(id.clone(), LostRun::new(task, run, Some(now))));
--- a/src/graph/job.rs
+++ b/src/graph/job.rs
@@ -223,7 +223,7 @@
     /// Tasks of a step that this leader has to run, that have not succeeded and have no live run.
     pub fn waiting(&self, key: StepKey) -> Vec<TaskKey> {
         let count = self.step(key).map_or(0, |step| step.count);
-        let here = |index: &u32| {
+        let in_this_shard = |index: &u32| {
             self.share.as_ref().is_none_or(|share| share.holds(&self.shard, *index, count))
         };
         // If a task were started before the store has its raised floor, the end of an earlier run might still
@@ -233,7 +233,7 @@
         let announcement_stored =
             |task: &TaskKey| self.progress.announced.get(task) == self.stored_announced.get(task);
         (0..count)
-            .filter(here)
+            .filter(in_this_shard)
             .map(|index| TaskKey { step: key, index })
             .filter(|task| !self.progress.is_done(task) && !self.live.contains_key(task))
             .filter(|task| floor_stored(task) && announcement_stored(task))
@@ -270,11 +270,12 @@
     /// earlier start may have done so. `lost_before_contact` states whether workers from before this leader's
     /// term were lost before they answered it.
     pub(crate) fn needs_announcement(&self, task: TaskKey, lost_before_contact: bool) -> bool {
-        let unheard = lost_before_contact && self.inherited && !self.last_run.contains_key(&task);
+        let may_be_lost =
+            lost_before_contact && self.inherited && !self.last_run.contains_key(&task);
         let announced = self.progress.announced.contains_key(&task);
         match self.inherited_starts.contains(&task) {
             true => true,
-            false => !announced && (unheard || self.is_suspected(task)),
+            false => !announced && (may_be_lost || self.is_suspected(task)),
         }
     }
 
--- a/src/graph/jobs.rs
+++ b/src/graph/jobs.rs
@@ -215,8 +215,8 @@
         let Some(step) = job.step(task.key.step).cloned() else {
             return effect;
         };
-        let late = started_again || !job.progress.counts(&task.key, run);
-        effect.superseded = late && kind == EndKind::Done && !step.lasting;
+        let is_outdated = started_again || !job.progress.counts(&task.key, run);
+        effect.superseded = is_outdated && kind == EndKind::Done && !step.lasting;
         if job.is_over() || job.progress.is_done(&task.key) {
             return effect;
         }
@@ -296,11 +296,11 @@
 
     /// Number of accepted jobs of a queue none of whose tasks has begun.
     pub fn pending(&self, queue: &str) -> usize {
-        let waits = |job: &&GraphJob| {
-            let waits = job.durable && job.state() == GraphState::Queued;
-            waits && !job.is_part() && *job.spec.queue == *queue
+        let is_pending = |job: &&GraphJob| {
+            let is_waiting = job.durable && job.state() == GraphState::Queued;
+            is_waiting && !job.is_part() && *job.spec.queue == *queue
         };
-        self.jobs.values().filter(waits).count()
+        self.jobs.values().filter(is_pending).count()
     }
 
     /// Jobs that ended before a moment and have no live run.
--- a/src/graph/jobs/crashes.rs
+++ b/src/graph/jobs/crashes.rs
@@ -60,15 +60,15 @@
         if job.inherited_starts.remove(&task.key)
             && let Some(run) = job.progress.announced.remove(&task.key)
         {
-            let heard = job.last_run.get(&task.key).is_some_and(|last| *last >= run);
-            if lost_before_contact && !heard {
+            let run_reported = job.last_run.get(&task.key).is_some_and(|last| *last >= run);
+            if lost_before_contact && !run_reported {
                 job.progress.note_crash(task.key, run, false);
             }
         }
         if job.needs_announcement(task.key, lost_before_contact) {
             let run = job.next_run(&task.key, base);
             job.progress.announced.insert(task.key, run);
-            info!(task:% = task, run; "a start that may crash its worker is announced");
+            info!(task:% = task, run; "announced a start that may crash its worker");
         }
     }
 
@@ -145,13 +145,13 @@
         count.begun += begun;
         count.all += 1;
     }
-    let known = |run: RunNumber| {
+    let is_accounted_for = |run: RunNumber| {
         let goes_on = job.live.get(&task).is_some_and(|live| live.run == run);
         goes_on || job.withdrawn.get(&task) == Some(&run)
     };
     let trials =
         progress.trials.get(&task).into_iter().flatten().map(|suspect_run| suspect_run.run);
-    for run in trials.filter(|run| !known(*run)) {
+    for run in trials.filter(|run| !is_accounted_for(*run)) {
         count.begun += usize::from(progress.is_confirmed(&task, run));
         count.all += 1;
     }
@@ -163,9 +163,9 @@
 /// the cause.
 pub(super) fn delay_start(job: &mut GraphJob, task: &TaskName, run: RunNumber, now: Instant) {
     let count = crash_count(job, task.key);
-    let settled = job.live.get(&task.key).is_none_or(|live| live.run == run);
+    let no_newer_run = job.live.get(&task.key).is_none_or(|live| live.run == run);
     if let Some(pause) = restart_delay(task, run, &count)
-        && settled
+        && no_newer_run
     {
         job.not_before.insert(task.key, now + pause);
     }
@@ -182,11 +182,11 @@
     let count = crash_count(job, task.key);
     let CrashCount { sure, proven, begun, all } = count;
     let given_up = count.exceeds_limit(limit);
-    info!(task:% = task, sure, proven, begun, all, limit, given_up; "workers have crashed under a task, or may have");
+    info!(task:% = task, sure, proven, begun, all, limit, given_up; "counted the crashes and possible crashes of workers under a task");
     if !given_up {
         return;
     }
-    warn!(task:% = task, sure, all, limit; "a task that crashes its workers is given up");
+    warn!(task:% = task, sure, all, limit; "gave up a task that crashes its workers");
     metrics::counter!("kelplink_crashing_jobs_total").increment(1);
     effect.stops = live_runs(job);
     effect.urgent = true;
--- a/src/graph/progress.rs
+++ b/src/graph/progress.rs
@@ -73,11 +73,11 @@
     /// Notes a run that may crash its worker. Returns whether it is new.
     pub fn note_suspect_run(&mut self, task: TaskKey, suspect_run: SuspectRun) -> bool {
         let trials = self.trials.entry(task).or_default();
-        let new = trials.iter().all(|known| known.run != suspect_run.run);
-        if new {
+        let is_new = trials.iter().all(|known| known.run != suspect_run.run);
+        if is_new {
             trials.push(suspect_run);
         }
-        new
+        is_new
     }
 
     /// Notes a crash of a worker under a run of a task. `sure` states whether the run was certainly running
@@ -92,8 +92,8 @@
     pub fn confirm_run(&mut self, task: TaskKey, run: RunNumber) -> bool {
         let crashed = self.crashes.get(&task).is_some_and(|runs| runs.contains_key(&run));
         let mut trials = self.trials.get(&task).into_iter().flatten();
-        let suspect = crashed || trials.any(|suspect_run| suspect_run.run == run);
-        suspect && self.confirmed.entry(task).or_default().insert(run)
+        let is_suspect = crashed || trials.any(|suspect_run| suspect_run.run == run);
+        is_suspect && self.confirmed.entry(task).or_default().insert(run)
     }
 
     /// Whether a run under which a worker has crashed, or may have crashed, had certainly begun.
@@ -130,8 +130,8 @@
     /// them. Returns whether there were any.
     pub fn clear_crashes(&mut self, task: &TaskKey) -> bool {
         self.confirmed.remove(task);
-        let suspect_run = self.trials.remove(task).is_some();
-        self.crashes.remove(task).is_some() || suspect_run
+        let had_suspects = self.trials.remove(task).is_some();
+        self.crashes.remove(task).is_some() || had_suspects
     }
 
     /// Makes runs of a task below `first` stop counting. Returns whether that is new.
@@ -154,13 +154,13 @@
 
     /// Whether it contains anything that only a worker that has begun a task can have reported.
     pub(crate) fn shows_begun(&self) -> bool {
-        let sure = |runs: &BTreeMap<RunNumber, bool>| runs.values().any(|sure| *sure);
+        let has_certain = |runs: &BTreeMap<RunNumber, bool>| runs.values().any(|sure| *sure);
         self.begun
             || !self.done.is_empty()
             || !self.failures.is_empty()
             || !self.saved.is_empty()
             || !self.confirmed.is_empty()
-            || self.crashes.values().any(sure)
+            || self.crashes.values().any(has_certain)
     }
 
     /// Whether there is nothing to store.
--- a/src/graph/remote_workers.rs
+++ b/src/graph/remote_workers.rs
@@ -90,14 +90,14 @@
             let Some(rack) = &step.affinity else {
                 continue;
             };
-            let here = own.clone().any(|registration| registration.rack == *rack);
+            let is_own = own.clone().any(|registration| registration.rack == *rack);
             let elsewhere = || {
                 let mut workers = self.known_workers();
                 workers
                     .find(|(_, registration)| registration.rack == *rack)
                     .map(|(shard, _)| shard.clone())
             };
-            let shard = if here { Some(scope.shard.clone()) } else { elsewhere() };
+            let shard = if is_own { Some(scope.shard.clone()) } else { elsewhere() };
             if let Some(shard) = shard {
                 *tasks.entry(shard).or_default() += step.count;
             }
@@ -119,11 +119,11 @@
         if !divisible || spec.repeat.is_some() {
             return None;
         }
-        let here = own.filter(|registration| can_run_on(widest, rule, registration)).count();
-        if here >= widest.count as usize * WORKERS_PER_TASK {
+        let own_count = own.filter(|registration| can_run_on(widest, rule, registration)).count();
+        if own_count >= widest.count as usize * WORKERS_PER_TASK {
             return None;
         }
-        let mut weights = vec![(scope.shard.clone(), here)];
+        let mut weights = vec![(scope.shard.clone(), own_count)];
         for shard in scope.plan.shards().into_iter().filter(|shard| *shard != scope.shard) {
             let count = self.count(&shard, widest, rule);
             if count > 0 && weights.len() < MAX_SHARES {
@@ -134,7 +134,7 @@
     }
 
     fn count(&self, shard: &ShardId, step: &StepSpec, rule: &QueueRule) -> usize {
-        let here = self.known_workers().filter(|(other, _)| *other == shard);
-        here.filter(|(_, registration)| can_run_on(step, rule, registration)).count()
+        let in_shard = self.known_workers().filter(|(other, _)| *other == shard);
+        in_shard.filter(|(_, registration)| can_run_on(step, rule, registration)).count()
     }
 }
--- a/src/graph/worker.rs
+++ b/src/graph/worker.rs
@@ -336,9 +336,9 @@
         if other_instance {
             self.next_poll = now;
         }
-        let current = self.registration.instance_start == self.instance_start
+        let is_confirmed = self.registration.instance_start == self.instance_start
             && self.registration.address == registration.address;
-        if other_instance && current {
+        if other_instance && is_confirmed {
             self.announced = Some((now, registration));
             return;
         }
@@ -412,8 +412,8 @@
         self.misses = 0;
         self.silent_since = None;
         self.refused_since = None;
-        let known = self.clock.is_none_or(|(known, _)| clock >= known);
-        if known {
+        let is_newest = self.clock.is_none_or(|(known, _)| clock >= known);
+        if is_newest {
             self.clock = Some((clock, now));
         }
     }
@@ -498,9 +498,9 @@
         now: Instant,
         longest: Duration,
     ) -> bool {
-        let held = longest * 1_000 / (1_000 - SLOW_CLOCK_PERMILLE) + LEASE_EXPIRY_MARGIN;
+        let longest_hold = longest * 1_000 / (1_000 - SLOW_CLOCK_PERMILLE) + LEASE_EXPIRY_MARGIN;
         run.taken_by_newer_instance
-            .is_none_or(|answered| now.saturating_duration_since(answered) >= held)
+            .is_none_or(|answered| now.saturating_duration_since(answered) >= longest_hold)
     }
 
     /// Highest number of a run end that may be acknowledged.
