--- a/src/graph/jobs.rs
+++ b/src/graph/jobs.rs
@@ -175,11 +175,13 @@
     pub(crate) fn invalidate_unseen_runs(
         &mut self,
         first: RunNumber,
-        held: impl Fn(&GraphJob) -> bool,
+        is_affected: impl Fn(&GraphJob) -> bool,
     ) -> Vec<GraphId> {
         let mut changed = Vec::new();
-        let open_jobs =
-            self.jobs.values_mut().filter(|job| job.inherited && !job.is_over() && held(job));
+        let open_jobs = self
+            .jobs
+            .values_mut()
+            .filter(|job| job.inherited && !job.is_over() && is_affected(job));
         for job in open_jobs {
             let unseen: Vec<TaskKey> = job.unseen_tasks();
             let raised =
@@ -220,12 +222,12 @@
         if job.is_over() || job.progress.is_done(&task.key) {
             return effect;
         }
-        let suspicion_stored = job.progress.clear_suspect_run(&task.key, run);
+        let suspect_cleared = job.progress.clear_suspect_run(&task.key, run);
         self.schedulable_ids.insert(task.job.clone());
         match kind {
             EndKind::Done if !step.lasting => {
                 note_done(job, task.key, step.gang, step.count);
-                effect.stops = superseded_runs(job, task.key.step, run);
+                effect.stops = unneeded_runs(job, task.key.step, run);
                 effect.changed = true;
                 if job.all_done() {
                     end_job(job, GraphVerdict::Completed, unix);
@@ -262,7 +264,7 @@
                 effect.stops = other_gang_members(job, task.key, run);
             }
         }
-        effect.changed |= suspicion_stored;
+        effect.changed |= suspect_cleared;
         effect
     }
 
@@ -344,7 +346,7 @@
 
 /// Runs of a step's tasks that have already succeeded with another run. The members of a gang end together,
 /// so those of the successful run need no stop.
-fn superseded_runs(job: &GraphJob, step: StepKey, run: RunNumber) -> Vec<RunToStop> {
+fn unneeded_runs(job: &GraphJob, step: StepKey, run: RunNumber) -> Vec<RunToStop> {
     let gang = job.step(step).is_some_and(|step| step.gang);
     let unwanted = |(key, live): &(&TaskKey, &LiveRun)| {
         key.step == step && job.progress.is_done(key) && !(gang && live.run == run)
--- a/src/graph/jobs/crashes.rs
+++ b/src/graph/jobs/crashes.rs
@@ -82,9 +82,9 @@
     /// the pauses that follow from them.
     pub(crate) fn delay_suspected(&mut self, now: Instant) {
         for job in self.jobs.values_mut().filter(|job| !job.is_over()) {
-            let (crashes, trials) = (&job.progress.crashes, &job.progress.trials);
+            let (crashes, suspect_runs) = (&job.progress.crashes, &job.progress.trials);
             let suspected: BTreeSet<TaskKey> =
-                crashes.keys().chain(trials.keys()).copied().collect();
+                crashes.keys().chain(suspect_runs.keys()).copied().collect();
             for key in suspected {
                 let task = job.task_name(key);
                 delay_start(job, &task, 0, now);
@@ -149,9 +149,9 @@
         let goes_on = job.live.get(&task).is_some_and(|live| live.run == run);
         goes_on || job.withdrawn.get(&task) == Some(&run)
     };
-    let trials =
+    let suspect_run_numbers =
         progress.trials.get(&task).into_iter().flatten().map(|suspect_run| suspect_run.run);
-    for run in trials.filter(|run| !is_accounted_for(*run)) {
+    for run in suspect_run_numbers.filter(|run| !is_accounted_for(*run)) {
         count.begun += usize::from(progress.is_confirmed(&task, run));
         count.all += 1;
     }
--- a/src/graph/progress.rs
+++ b/src/graph/progress.rs
@@ -72,10 +72,10 @@
 
     /// Notes a run that may crash its worker. Returns whether it is new.
     pub fn note_suspect_run(&mut self, task: TaskKey, suspect_run: SuspectRun) -> bool {
-        let trials = self.trials.entry(task).or_default();
-        let is_new = trials.iter().all(|known| known.run != suspect_run.run);
+        let suspect_runs = self.trials.entry(task).or_default();
+        let is_new = suspect_runs.iter().all(|known| known.run != suspect_run.run);
         if is_new {
-            trials.push(suspect_run);
+            suspect_runs.push(suspect_run);
         }
         is_new
     }
@@ -91,8 +91,8 @@
     /// worker has crashed or may have crashed.
     pub fn confirm_run(&mut self, task: TaskKey, run: RunNumber) -> bool {
         let crashed = self.crashes.get(&task).is_some_and(|runs| runs.contains_key(&run));
-        let mut trials = self.trials.get(&task).into_iter().flatten();
-        let is_suspect = crashed || trials.any(|suspect_run| suspect_run.run == run);
+        let mut suspect_runs = self.trials.get(&task).into_iter().flatten();
+        let is_suspect = crashed || suspect_runs.any(|suspect_run| suspect_run.run == run);
         is_suspect && self.confirmed.entry(task).or_default().insert(run)
     }
 
@@ -114,13 +114,13 @@
     }
 
     fn remove_suspect_run(&mut self, task: &TaskKey, run: RunNumber) -> bool {
-        let Some(trials) = self.trials.get_mut(task) else {
+        let Some(suspect_runs) = self.trials.get_mut(task) else {
             return false;
         };
-        let count_before = trials.len();
-        trials.retain(|suspect_run| suspect_run.run != run);
-        let cleared = trials.len() < count_before;
-        if trials.is_empty() {
+        let count_before = suspect_runs.len();
+        suspect_runs.retain(|suspect_run| suspect_run.run != run);
+        let cleared = suspect_runs.len() < count_before;
+        if suspect_runs.is_empty() {
             self.trials.remove(task);
         }
         cleared
--- a/src/graph/worker.rs
+++ b/src/graph/worker.rs
@@ -443,9 +443,9 @@
     }
 
     /// Returns the end, on the worker's clock, of a lease that starts now, and records that it was sent.
-    pub fn extend_lease(&mut self, now: Instant, declared_run_time: Duration) -> Option<Duration> {
+    pub fn extend_lease(&mut self, now: Instant, duration: Duration) -> Option<Duration> {
         let (clock, at) = self.clock?;
-        let end = clock + now.saturating_duration_since(at) + declared_run_time;
+        let end = clock + now.saturating_duration_since(at) + duration;
         self.lease = Some(self.lease.map_or(end, |lease| lease.max(end)));
         Some(end)
     }
