--- a/src/graph/instances.rs
+++ b/src/graph/instances.rs
@@ -105,8 +105,8 @@
     /// Applies a registration. Of two instances at an address only the worker itself can say which has ended,
     /// as the older one may register once more after the newer. So the other instances at the address are
     /// polled at once, and the worker refuses calls to an ended instance. Assuming that the last registration
-    /// is the newer one made up to 13 tasks of a day run twice, on days on which workers crash during a
-    /// network partition.
+    /// is the newer one made up to 13 tasks of a day run twice, on days on which workers crash while they are
+    /// cut off by a network partition.
     pub(crate) fn register(&mut self, now: Instant, registration: WorkerRegistration) {
         let others = self.instances.values_mut().filter(|instance| {
             instance.address() == registration.address && *instance.id() != registration.id
@@ -208,8 +208,8 @@
             // The lease of an idle worker without registration is not extended: otherwise it would never
             // expire and the worker would be polled for good.
             let is_used = instance.registered || !instance.runs.is_empty();
-            // Another instance numbers its ends anew: acknowledged by a number of this one, its first ends
-            // would be dropped unread.
+            // Another instance numbers its ends anew, and would drop its first ends unread if a number of
+            // this instance were acknowledged.
             let same_instance =
                 instance.last_poll_answer.is_some_and(|at| now - at <= SAME_INSTANCE_TIME);
             let until = match extend && is_used && instance.misses == 0 {
--- a/src/graph/worker.rs
+++ b/src/graph/worker.rs
@@ -100,7 +100,7 @@
     pub target: Option<Duration>,
     /// Image that it runs.
     pub image: Option<ImageId>,
-    /// Share of the processors that it is throttled to, in percent.
+    /// Percentage that it is throttled to.
     pub throttle: u32,
     /// Number of failed attempts to send its stop.
     pub failed_stops: u32,
