--- a/src/graph/instances/restart.rs
+++ b/src/graph/instances/restart.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under their ids.
+//! Workers that restart under their ids.
 
 use std::collections::BTreeMap;
 
@@ -14,15 +14,15 @@
 type RunTable = BTreeMap<TaskName, WorkerRun>;
 
 impl InstanceTable {
-    /// Another life answers under the id of a worker. A run that it does not list and that was not surely carried out before
-    /// it may still begin there.
-    pub(super) fn restarted(
+    /// Handles an answer of another instance under the id of a worker. A run that the new instance does not
+    /// list, and that was not certainly carried out by the previous one, may still begin there.
+    pub(super) fn handle_restart(
         &mut self,
         now: Instant,
         id: &WorkerId,
         reply: &PollReply,
     ) -> Vec<WorkerEvent> {
-        let silent = self.silent_beside(id);
+        let silent = self.other_silences(id);
         let Some(instance) = self.instances.get_mut(id) else {
             return Vec::new();
         };
@@ -30,28 +30,30 @@
         let (listed, other): (RunTable, RunTable) =
             runs.partition(|(task, run)| reply.lists(task, run.run));
         instance.runs = other;
-        let crash = instance.leaves.is_none().then(|| self.crashes.crashed(now, instance, &silent));
+        let crash =
+            instance.leaves.is_none().then(|| self.crashes.note_crash(now, instance, &silent));
         let (other, answered) = (std::mem::take(&mut instance.runs), instance.last_answer);
         *instance = instance.next_instance(now, reply.instance_start);
         for (task, run) in listed {
             instance.add_run(task, run.carried_over(now, reply));
         }
-        let mut found = vec![WorkerEvent::Over(id.clone(), InstanceEnd::Restarted)];
+        let mut events = vec![WorkerEvent::Over(id.clone(), InstanceEnd::Restarted)];
         for (task, run) in other {
             if run.is_of_one_instance() {
-                found.push(WorkerEvent::Lost(id.clone(), LostRun::new(task, run, answered)));
+                events.push(WorkerEvent::Lost(id.clone(), LostRun::new(task, run, answered)));
                 continue;
             }
-            found.push(WorkerEvent::InDoubt(id.clone(), task.clone(), run.run));
+            events.push(WorkerEvent::InDoubt(id.clone(), task.clone(), run.run));
             instance.add_run(task, run.in_doubt(now));
         }
-        found.extend(crash.map(WorkerEvent::Crashed));
-        found
+        events.extend(crash.map(WorkerEvent::Crashed));
+        events
     }
 }
 
 impl WorkerRun {
-    /// The same run at another life that lists it: times on the clock of the life before mean nothing there.
+    /// The same run at another instance that lists it. Times on the clock of the previous instance are
+    /// dropped, as they mean nothing on the new clock.
     fn carried_over(self, now: Instant, reply: &PollReply) -> Self {
         let phase = match self.phase {
             RunPhase::Sent { tries } => RunPhase::Sent { tries },
@@ -61,7 +63,7 @@
         Self { phase, until: None, taken_by_newer_instance: None, ..self }
     }
 
-    /// A run that another life does not list and may still begin: only a stop that it has answered settles that.
+    /// A run that another instance does not list and may still begin; only an answered stop settles that.
     fn in_doubt(self, now: Instant) -> Self {
         let phase = RunPhase::Stopping { answered: None, sent: now };
         Self { phase, until: None, probation: None, taken_by_newer_instance: None, ..self }
--- a/src/graph/jobs.rs
+++ b/src/graph/jobs.rs
@@ -1,4 +1,4 @@
-//! All jobs of a leader, and what ends of runs make of them.
+//! All jobs of a leader, and how they change with the ends of their runs.
 
 mod crashes;
 
@@ -12,16 +12,16 @@
 use crate::graph::crash::{MULTI_CAUSE_CRASH_LIMIT, SuspectRun};
 use crate::graph::exchange::{EndKind, EndReport};
 use crate::graph::job::{GraphJob, GraphState, LiveRun};
-use crate::graph::jobs::crashes::{delay_start, give_up_crashing};
+use crate::graph::jobs::crashes::{delay_start, fail_crashing_job};
 use crate::graph::name::{GraphId, RunNumber, StepKey, TaskKey, TaskName};
 use crate::graph::progress::GraphVerdict;
 use crate::graph::worker_event::LostRun;
 use crate::id::{UnixMillis, WorkerId};
 
-/// Pause before a lasting task that ended is started again, so that one which fails at once does not
-/// take a start each few milliseconds.
-const LASTING_PAUSE: Duration = Duration::from_millis(100);
-/// Pause before the next try of a task that failed.
+/// Pause before a lasting task that ended is started again, so that a task which fails at once does not cause
+/// a start every few milliseconds.
+const LASTING_RESTART_PAUSE: Duration = Duration::from_millis(100);
+/// Pause before a failed task is started again.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
 /// A run that should be stopped.
@@ -32,11 +32,11 @@
 pub(crate) struct JobEffect {
     /// Its progress changed.
     pub(crate) changed: bool,
-    /// Callers wait for the change.
+    /// Callers wait for the change to be stored.
     pub(crate) urgent: bool,
-    /// Runs that are not wanted any more.
+    /// Runs that are no longer needed.
     pub(crate) stops: Vec<RunToStop>,
-    /// It is the success of a run after which the task was begun again.
+    /// The event is the success of a run whose task has been started again since.
     pub(crate) superseded: bool,
 }
 
@@ -45,16 +45,16 @@
 pub struct JobTable {
     jobs: BTreeMap<GraphId, GraphJob>,
     /// Jobs that may have a task to start.
-    open: BTreeSet<GraphId>,
+    schedulable_ids: BTreeSet<GraphId>,
 }
 
 impl JobTable {
-    /// One job.
+    /// Returns a job.
     pub fn get(&self, id: &GraphId) -> Option<&GraphJob> {
         self.jobs.get(id)
     }
 
-    /// One job, to change.
+    /// Returns a job for modification.
     pub(crate) fn get_mut(&mut self, id: &GraphId) -> Option<&mut GraphJob> {
         self.jobs.get_mut(id)
     }
@@ -64,51 +64,51 @@
         self.jobs.values()
     }
 
-    /// All jobs, to change.
+    /// All jobs, for modification.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut GraphJob> {
         self.jobs.values_mut()
     }
 
     /// Jobs that may have a task to start.
     pub(crate) fn schedulable(&self) -> impl Iterator<Item = &GraphJob> {
-        self.open.iter().filter_map(|id| self.jobs.get(id)).filter(|job| !job.is_over())
+        self.schedulable_ids.iter().filter_map(|id| self.jobs.get(id)).filter(|job| !job.is_over())
     }
 
     /// Adds a job.
     pub(crate) fn insert(&mut self, job: GraphJob) {
         let id = job.spec.id.clone();
         if !job.is_over() {
-            self.open.insert(id.clone());
+            self.schedulable_ids.insert(id.clone());
         }
         self.jobs.insert(id, job);
     }
 
-    /// Forgets a job.
+    /// Removes a job.
     pub(crate) fn remove(&mut self, id: &GraphId) {
-        self.open.remove(id);
+        self.schedulable_ids.remove(id);
         self.jobs.remove(id);
     }
 
-    /// A job has nothing to start until something happens to it.
+    /// Notes that a job has nothing to start until its next event.
     pub(crate) fn mark_unschedulable(&mut self, id: &GraphId) {
-        self.open.remove(id);
+        self.schedulable_ids.remove(id);
     }
 
-    /// A job may have a task to start.
+    /// Notes that a job may have a task to start.
     pub(crate) fn mark_schedulable(&mut self, id: &GraphId) {
         if self.jobs.get(id).is_some_and(|job| !job.is_over()) {
-            self.open.insert(id.clone());
+            self.schedulable_ids.insert(id.clone());
         }
     }
 
-    /// Notes that a worker has begun a run of a job: only then does the job wait no more.
+    /// Notes that a worker has begun a run of a job; only then does the job leave the queued state.
     pub(crate) fn note_begun(&mut self, task: &TaskName, evidence: BeginEvidence) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
-            begin_job(job, task, evidence);
+            mark_begun(job, task, evidence);
         }
     }
 
-    /// Notes a run that was sent or found.
+    /// Notes a run that was sent to a worker or found on one.
     pub(crate) fn note_run(&mut self, task: &TaskName, worker: WorkerId, run: RunNumber) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             let last = job.last_run.entry(task.key).or_default();
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A run is gone, nobody knows how, or it was never begun.
+    /// Handles a run that is gone without a reported end, or that was never begun.
     pub(crate) fn run_lost(
         &mut self,
         task: &TaskName,
@@ -133,14 +133,14 @@
         }
         if !job.is_over() {
             effect.changed = keep_checkpoint(job, task.key, checkpoint);
-            effect.stops = rest_of_gang(job, task.key, run);
-            self.open.insert(task.job.clone());
+            effect.stops = other_gang_members(job, task.key, run);
+            self.schedulable_ids.insert(task.job.clone());
         }
         effect
     }
 
-    /// A run is given up with its worker's lease: its end, should it be heard later, must not be acknowledged.
-    /// One on probation may have crashed its worker.
+    /// Handles a run that is given up as its worker's lease has expired. Its end, if reported later, must not
+    /// be acknowledged. A run on probation may have crashed the worker.
     pub(crate) fn run_given_up(
         &mut self,
         now: Instant,
@@ -159,7 +159,7 @@
                 }
                 effect.changed = true;
                 delay_start(job, task, run, now);
-                give_up_crashing(job, task, MULTI_CAUSE_CRASH_LIMIT, unix, &mut effect);
+                fail_crashing_job(job, task, MULTI_CAUSE_CRASH_LIMIT, unix, &mut effect);
             }
             let lasting = job.step(task.key.step).is_some_and(|step| step.lasting);
             if !lasting && job.progress.raise_floor(task.key, run + 1) {
@@ -169,17 +169,20 @@
         effect
     }
 
-    /// Runs of earlier leaders may have gone on or ended unseen: those of tasks that this one knows nothing of
-    /// count no more. Tells the jobs for which that is new.
+    /// Makes unknown runs of earlier leaders stop counting, as they may have gone on or ended unseen: for
+    /// each task whose earlier runs this leader does not know, only runs from `first` on count. Returns the
+    /// jobs that changed.
     pub(crate) fn invalidate_unseen_runs(
         &mut self,
         first: RunNumber,
-        held: impl Fn(&GraphJob) -> bool,
+        is_affected: impl Fn(&GraphJob) -> bool,
     ) -> Vec<GraphId> {
         let mut changed = Vec::new();
-        let open =
-            self.jobs.values_mut().filter(|job| job.inherited && !job.is_over() && held(job));
-        for job in open {
+        let open_jobs = self
+            .jobs
+            .values_mut()
+            .filter(|job| job.inherited && !job.is_over() && is_affected(job));
+        for job in open_jobs {
             let unseen: Vec<TaskKey> = job.unseen_tasks();
             let raised =
                 unseen.iter().filter(|task| job.progress.raise_floor(**task, first)).count();
@@ -190,7 +193,7 @@
         changed
     }
 
-    /// A run ended.
+    /// Handles the end of a run.
     pub(crate) fn run_ended(
         &mut self,
         now: Instant,
@@ -205,26 +208,26 @@
             return effect;
         };
         let last = job.last_run.entry(task.key).or_default();
-        let begun_again = *last > run;
+        let started_again = *last > run;
         *last = (*last).max(run);
-        begin_job(job, task, BeginEvidence::Ended);
+        mark_begun(job, task, BeginEvidence::Ended);
         if job.live.get(&task.key).is_some_and(|live| live.run == run && live.worker == *worker) {
             job.live.remove(&task.key);
         }
         let Some(step) = job.step(task.key.step).cloned() else {
             return effect;
         };
-        let late = begun_again || !job.progress.counts(&task.key, run);
-        effect.superseded = late && kind == EndKind::Done && !step.lasting;
+        let is_outdated = started_again || !job.progress.counts(&task.key, run);
+        effect.superseded = is_outdated && kind == EndKind::Done && !step.lasting;
         if job.is_over() || job.progress.is_done(&task.key) {
             return effect;
         }
-        let suspicion_stored = job.progress.clear_suspect_run(&task.key, run);
-        self.open.insert(task.job.clone());
+        let suspect_cleared = job.progress.clear_suspect_run(&task.key, run);
+        self.schedulable_ids.insert(task.job.clone());
         match kind {
             EndKind::Done if !step.lasting => {
                 note_done(job, task.key, step.gang, step.count);
-                effect.stops = superfluous(job, task.key.step, run);
+                effect.stops = unneeded_runs(job, task.key.step, run);
                 effect.changed = true;
                 if job.all_done() {
                     end_job(job, GraphVerdict::Completed, unix);
@@ -236,8 +239,8 @@
                     job.avoided_workers.entry(task.key).or_default().insert(worker.clone());
                 }
                 effect.changed = job.progress.clear_crashes(&task.key);
-                job.not_before.insert(task.key, now + LASTING_PAUSE);
-                effect.stops = rest_of_gang(job, task.key, run);
+                job.not_before.insert(task.key, now + LASTING_RESTART_PAUSE);
+                effect.stops = other_gang_members(job, task.key, run);
             }
             EndKind::Failed => {
                 job.progress.failures.entry(task.key).or_default().insert(run);
@@ -245,9 +248,9 @@
                 job.avoided_workers.entry(task.key).or_default().insert(worker.clone());
                 job.not_before.insert(task.key, now + RETRY_PAUSE);
                 effect.changed = true;
-                effect.stops = rest_of_gang(job, task.key, run);
+                effect.stops = other_gang_members(job, task.key, run);
                 if failed_runs(job, task.key, step.gang) >= job.rule.max_attempts {
-                    effect.stops = all_runs(job);
+                    effect.stops = live_runs(job);
                     end_job(job, GraphVerdict::Failed, unix);
                     effect.urgent = true;
                 }
@@ -258,10 +261,10 @@
             | EndKind::Broken
             | EndKind::Alone => {
                 effect.changed = keep_checkpoint(job, task.key, checkpoint);
-                effect.stops = rest_of_gang(job, task.key, run);
+                effect.stops = other_gang_members(job, task.key, run);
             }
         }
-        effect.changed |= suspicion_stored;
+        effect.changed |= suspect_cleared;
         effect
     }
 
@@ -270,7 +273,7 @@
         self.end(id, GraphVerdict::Cancelled, unix)
     }
 
-    /// Ends a job that has failed elsewhere.
+    /// Ends a job that has failed in another shard.
     pub(crate) fn fail(&mut self, id: &GraphId, unix: UnixMillis) -> JobEffect {
         self.end(id, GraphVerdict::Failed, unix)
     }
@@ -278,31 +281,31 @@
     fn end(&mut self, id: &GraphId, verdict: GraphVerdict, unix: UnixMillis) -> JobEffect {
         let mut effect = JobEffect::default();
         if let Some(job) = self.jobs.get_mut(id).filter(|job| !job.is_over()) {
-            effect.stops = all_runs(job);
+            effect.stops = live_runs(job);
             effect.changed = true;
             effect.urgent = true;
             end_job(job, verdict, unix);
-            self.open.remove(id);
+            self.schedulable_ids.remove(id);
         }
         effect
     }
 
-    /// Whether a task still has to be run.
+    /// Whether a task still has to run.
     pub fn wants(&self, task: &TaskName) -> bool {
         let job = self.jobs.get(&task.job);
         job.is_some_and(|job| !job.is_over() && !job.progress.is_done(&task.key))
     }
 
-    /// Accepted jobs of a queue none of whose tasks has begun.
+    /// Number of accepted jobs of a queue none of whose tasks has begun.
     pub fn pending(&self, queue: &str) -> usize {
-        let waits = |job: &&GraphJob| {
-            let waits = job.durable && job.state() == GraphState::Queued;
-            waits && !job.is_part() && *job.spec.queue == *queue
+        let is_pending = |job: &&GraphJob| {
+            let is_waiting = job.durable && job.state() == GraphState::Queued;
+            is_waiting && !job.is_part() && *job.spec.queue == *queue
         };
-        self.jobs.values().filter(waits).count()
+        self.jobs.values().filter(is_pending).count()
     }
 
-    /// Jobs that ended before a moment and hold no run any more.
+    /// Jobs that ended before a moment and have no live run.
     pub(crate) fn ended_before(&self, moment: UnixMillis) -> Vec<GraphId> {
         let old = |job: &&GraphJob| {
             job.stored_verdict.is_some()
@@ -313,7 +316,7 @@
     }
 }
 
-fn begin_job(job: &mut GraphJob, task: &TaskName, evidence: BeginEvidence) {
+fn mark_begun(job: &mut GraphJob, task: &TaskName, evidence: BeginEvidence) {
     if !job.progress.begun {
         job.progress.begun = true;
         info!(task:% = task, evidence:?; "job has begun");
@@ -341,9 +344,9 @@
     job.progress.clear_crashes(&task);
 }
 
-/// Runs of tasks of a step that have succeeded elsewhere. The members of a gang end together, so those
-/// of the run that succeeded need no stop.
-fn superfluous(job: &GraphJob, step: StepKey, run: RunNumber) -> Vec<RunToStop> {
+/// Runs of a step's tasks that have already succeeded with another run. The members of a gang end together,
+/// so those of the successful run need no stop.
+fn unneeded_runs(job: &GraphJob, step: StepKey, run: RunNumber) -> Vec<RunToStop> {
     let gang = job.step(step).is_some_and(|step| step.gang);
     let unwanted = |(key, live): &(&TaskKey, &LiveRun)| {
         key.step == step && job.progress.is_done(key) && !(gang && live.run == run)
@@ -352,8 +355,8 @@
     live.map(|(key, live)| (live.worker.clone(), job.task_name(*key), live.run)).collect()
 }
 
-/// The other members of a gang one of whose members has ended.
-fn rest_of_gang(job: &GraphJob, task: TaskKey, run: RunNumber) -> Vec<RunToStop> {
+/// Runs of the other members of a gang one of whose members has ended.
+fn other_gang_members(job: &GraphJob, task: TaskKey, run: RunNumber) -> Vec<RunToStop> {
     if !job.step(task.step).is_some_and(|step| step.gang) {
         return Vec::new();
     }
@@ -361,12 +364,12 @@
     members.map(|(key, live)| (live.worker.clone(), job.task_name(*key), live.run)).collect()
 }
 
-fn all_runs(job: &GraphJob) -> Vec<RunToStop> {
+fn live_runs(job: &GraphJob) -> Vec<RunToStop> {
     let live = job.live.iter();
     live.map(|(key, live)| (live.worker.clone(), job.task_name(*key), live.run)).collect()
 }
 
-/// Failed runs of a task; of a gang, those of any member.
+/// Number of failed runs of a task; for a gang, of all its members.
 fn failed_runs(job: &GraphJob, task: TaskKey, gang: bool) -> u32 {
     if !gang {
         return job.progress.failure_count(&task);
@@ -376,7 +379,7 @@
     u32::try_from(runs.len()).unwrap_or(u32::MAX)
 }
 
-/// Keeps a checkpoint; in a gang one member's holds for all.
+/// Keeps a checkpoint and returns whether it is new. In a gang, the checkpoint of one member applies to all.
 fn keep_checkpoint(job: &mut GraphJob, task: TaskKey, checkpoint: &str) -> bool {
     let Some(step) = job.step(task.step) else {
         return false;
--- a/src/graph/jobs/crashes.rs
+++ b/src/graph/jobs/crashes.rs
@@ -1,4 +1,4 @@
-//! What crashes of workers make of the tasks that ran there.
+//! Effects of worker crashes on the tasks that ran there.
 
 use std::collections::BTreeSet;
 
@@ -7,16 +7,17 @@
 
 use crate::graph::crash::{
     CORRELATED_CRASH_LIMIT, CrashCount, CrashSuspect, MULTI_CAUSE_CRASH_LIMIT, SuspectRun,
-    pause_after,
+    restart_delay,
 };
 use crate::graph::job::GraphJob;
-use crate::graph::jobs::{JobEffect, JobTable, all_runs, end_job};
+use crate::graph::jobs::{JobEffect, JobTable, end_job, live_runs};
 use crate::graph::name::{RunNumber, TaskKey, TaskName};
 use crate::graph::progress::GraphVerdict;
 use crate::id::UnixMillis;
 
 impl JobTable {
-    /// A worker has crashed with a run of a task on probation: from `limit` such crashes on the task is given up.
+    /// Handles a crash of a worker that had a run on probation. The task is given up after `limit` such
+    /// crashes.
     pub(crate) fn crash_suspected(
         &mut self,
         now: Instant,
@@ -43,14 +44,15 @@
             true => limit.max(MULTI_CAUSE_CRASH_LIMIT),
             false => limit.max(CORRELATED_CRASH_LIMIT),
         };
-        give_up_crashing(job, task, limit, unix, &mut effect);
+        fail_crashing_job(job, task, limit, unix, &mut effect);
         effect
     }
 
-    /// The next start of a task is to be announced, with the least number that it may have, before it goes out.
+    /// Announces the next start of a task in the store, with the lowest run number that it may have, before
+    /// it is sent.
     ///
-    /// What an earlier leader had announced may have gone out to a worker that was lost before it was heard; a worker that was
-    /// heard would have told of it.
+    /// A start that an earlier leader announced may have been sent to a worker that was lost before it
+    /// answered this leader; a worker that answered would have reported the run.
     pub(crate) fn announce(&mut self, task: &TaskName, base: RunNumber, lost_before_contact: bool) {
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
@@ -58,30 +60,31 @@
         if job.inherited_starts.remove(&task.key)
             && let Some(run) = job.progress.announced.remove(&task.key)
         {
-            let heard = job.last_run.get(&task.key).is_some_and(|last| *last >= run);
-            if lost_before_contact && !heard {
+            let run_reported = job.last_run.get(&task.key).is_some_and(|last| *last >= run);
+            if lost_before_contact && !run_reported {
                 job.progress.note_crash(task.key, run, false);
             }
         }
         if job.needs_announcement(task.key, lost_before_contact) {
             let run = job.next_run(&task.key, base);
             job.progress.announced.insert(task.key, run);
-            info!(task:% = task, run; "a start that may crash its worker is announced");
+            info!(task:% = task, run; "announced a start that may crash its worker");
         }
     }
 
-    /// Whether the start of a task was announced; it is used up with that.
+    /// Consumes the announcement of a task's start, and returns whether there was one.
     pub(crate) fn consume_announcement(&mut self, task: &TaskName) -> bool {
         let job = self.jobs.get_mut(&task.job);
         job.is_some_and(|job| job.progress.announced.remove(&task.key).is_some())
     }
 
-    /// Suspected tasks wait on under this leader: counts outlive leaders, and so do the pauses that follow from them.
+    /// Delays suspected tasks when a leader takes over. Crash counts survive a change of leader, and so must
+    /// the pauses that follow from them.
     pub(crate) fn delay_suspected(&mut self, now: Instant) {
         for job in self.jobs.values_mut().filter(|job| !job.is_over()) {
-            let (crashes, trials) = (&job.progress.crashes, &job.progress.trials);
+            let (crashes, suspect_runs) = (&job.progress.crashes, &job.progress.trials);
             let suspected: BTreeSet<TaskKey> =
-                crashes.keys().chain(trials.keys()).copied().collect();
+                crashes.keys().chain(suspect_runs.keys()).copied().collect();
             for key in suspected {
                 let task = job.task_name(key);
                 delay_start(job, &task, 0, now);
@@ -89,7 +92,7 @@
         }
     }
 
-    /// A suspected task is started.
+    /// Notes the start of a suspected task.
     pub(crate) fn note_suspect_run(&mut self, task: &TaskName, suspect_run: SuspectRun) {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             if let Some(run) = job.withdrawn.remove(&task.key) {
@@ -99,7 +102,7 @@
         }
     }
 
-    /// A start was surely not carried out.
+    /// Handles a start that was certainly not carried out.
     pub(crate) fn withdraw(&mut self, task: &TaskName, run: RunNumber) -> JobEffect {
         if let Some(job) = self.jobs.get_mut(&task.job) {
             job.withdrawn.insert(task.key, run);
@@ -107,20 +110,21 @@
         self.run_lost(task, run, "")
     }
 
-    /// A run is gone from its worker, or from one that has been replaced: where that has crashed, the crash is noted in place
-    /// of the trial.
+    /// Clears a suspect run that is gone from its worker, or whose worker has been replaced. If the worker
+    /// crashed, the crash is recorded in place of the suspect run.
     pub(crate) fn clear_suspect_run(&mut self, task: &TaskName, run: RunNumber) -> bool {
         let job = self.jobs.get_mut(&task.job).filter(|job| !job.is_over());
         job.is_some_and(|job| job.progress.clear_suspect_run(&task.key, run))
     }
 
-    /// A worker has reported a run as begun. Tells whether that is new of one that a worker may crash, or has crashed, under.
+    /// Notes that a worker has reported a run as begun. Returns whether that is new for a run under which the
+    /// worker has crashed or may crash.
     pub(crate) fn confirm_run(&mut self, task: &TaskName, run: RunNumber) -> bool {
         let job = self.jobs.get_mut(&task.job);
         job.is_some_and(|job| !job.is_over() && job.progress.confirm_run(task.key, run))
     }
 
-    /// A worker has outlived the start of a task: earlier crashes were not its fault.
+    /// Handles a start that the worker has survived: earlier crashes were not caused by the task.
     pub(crate) fn start_survived(&mut self, task: &TaskName) -> JobEffect {
         let mut effect = JobEffect::default();
         if let Some(job) = self.jobs.get_mut(&task.job).filter(|job| !job.is_over()) {
@@ -130,7 +134,7 @@
     }
 }
 
-/// Crashes under a task, and silences since its starts that may be crashes.
+/// Counts the crashes under a task, and the silences since its starts that may be crashes.
 fn crash_count(job: &GraphJob, task: TaskKey) -> CrashCount {
     let progress = &job.progress;
     let mut count = CrashCount::default();
@@ -141,33 +145,34 @@
         count.begun += begun;
         count.all += 1;
     }
-    let known = |run: RunNumber| {
+    let is_accounted_for = |run: RunNumber| {
         let goes_on = job.live.get(&task).is_some_and(|live| live.run == run);
         goes_on || job.withdrawn.get(&task) == Some(&run)
     };
-    let trials =
+    let suspect_run_numbers =
         progress.trials.get(&task).into_iter().flatten().map(|suspect_run| suspect_run.run);
-    for run in trials.filter(|run| !known(*run)) {
+    for run in suspect_run_numbers.filter(|run| !is_accounted_for(*run)) {
         count.begun += usize::from(progress.is_confirmed(&task, run));
         count.all += 1;
     }
     count
 }
 
-/// Keeps a task that has been suspected before from starting again in step with others, and for longer with each crash.
-/// After a first one it starts at once: most tasks only ran beside the cause.
+/// Delays the next start of a task that was suspected before, so that suspected tasks do not start in step,
+/// and longer with each crash. After the first crash a task starts at once, since most tasks only ran beside
+/// the cause.
 pub(super) fn delay_start(job: &mut GraphJob, task: &TaskName, run: RunNumber, now: Instant) {
     let count = crash_count(job, task.key);
-    let settled = job.live.get(&task.key).is_none_or(|live| live.run == run);
-    if let Some(pause) = pause_after(task, run, &count)
-        && settled
+    let no_newer_run = job.live.get(&task.key).is_none_or(|live| live.run == run);
+    if let Some(pause) = restart_delay(task, run, &count)
+        && no_newer_run
     {
         job.not_before.insert(task.key, now + pause);
     }
 }
 
-/// Ends a job one of whose tasks has crashed too many workers.
-pub(super) fn give_up_crashing(
+/// Fails a job one of whose tasks has crashed too many workers.
+pub(super) fn fail_crashing_job(
     job: &mut GraphJob,
     task: &TaskName,
     limit: usize,
@@ -176,14 +181,14 @@
 ) {
     let count = crash_count(job, task.key);
     let CrashCount { sure, proven, begun, all } = count;
-    let given_up = count.is_too_many(limit);
-    info!(task:% = task, sure, proven, begun, all, limit, given_up; "workers have crashed under a task, or may have");
+    let given_up = count.exceeds_limit(limit);
+    info!(task:% = task, sure, proven, begun, all, limit, given_up; "counted the crashes and possible crashes of workers under a task");
     if !given_up {
         return;
     }
-    warn!(task:% = task, sure, all, limit; "a task that crashes its workers is given up");
+    warn!(task:% = task, sure, all, limit; "gave up a task that crashes its workers");
     metrics::counter!("kelplink_crashing_jobs_total").increment(1);
-    effect.stops = all_runs(job);
+    effect.stops = live_runs(job);
     effect.urgent = true;
     end_job(job, GraphVerdict::Failed, unix);
 }
--- a/src/graph/remote_workers.rs
+++ b/src/graph/remote_workers.rs
@@ -1,7 +1,7 @@
-//! Workers of the other shards, as far as a leader has to know them.
+//! Workers of other shards, as far as a leader needs to know them.
 //!
-//! Load it answers: lasting jobs of up to 240 tasks, one a worker, of which a third of a shard's 220 workers
-//! may run them, and jobs whose data or kind of worker is in another shard.
+//! They are needed for lasting jobs of up to 240 tasks, one per worker, when only a third of a shard's 220
+//! workers may run them, and for jobs whose data or kind of worker is in another shard.
 
 use std::collections::BTreeMap;
 
@@ -9,54 +9,54 @@
 
 use crate::graph::exchange::WorkerRegistration;
 use crate::graph::home::can_run_on;
-use crate::graph::instances::RETURN_TIME;
+use crate::graph::instances::REREGISTRATION_TIME;
 use crate::graph::queue::QueueRule;
 use crate::graph::shard::{ShardId, ShardScope};
 use crate::graph::spec::{GraphSpec, StepSpec};
 use crate::id::WorkerId;
 
-/// Workers for each task of a lasting step below which its tasks are shared out: advice allows a third of
-/// the workers, and half of these have other work of the same urgency.
-const WORKERS_A_TASK: usize = 5;
-/// Shards that a job is shared among at most: each has to store it.
-const MOST_SHARES: usize = 16;
+/// Number of workers for each task of a lasting step below which its tasks are divided among shards: advice
+/// allows a third of the workers, and half of these have other work of the same urgency.
+const WORKERS_PER_TASK: usize = 5;
+/// Maximum number of shards that a job is divided among, as each of them has to store it.
+const MAX_SHARES: usize = 16;
 
-/// Registrations of workers that other leaders have.
+/// Registrations of workers of other leaders.
 #[derive(Debug, Default)]
 pub(crate) struct RemoteWorkerTable {
     workers: BTreeMap<WorkerId, (ShardId, WorkerRegistration)>,
-    /// Those that are gone and may come back, and until when they count.
-    lapsed: BTreeMap<WorkerId, (Instant, ShardId, WorkerRegistration)>,
+    /// Registrations that have gone and may come back, with the time until which they count.
+    expired: BTreeMap<WorkerId, (Instant, ShardId, WorkerRegistration)>,
 }
 
 impl RemoteWorkerTable {
-    /// A worker of another shard has registered or changed its registration.
+    /// Notes that a worker of another shard has registered or changed its registration.
     pub(crate) fn register(&mut self, shard: ShardId, registration: WorkerRegistration) {
-        self.lapsed.remove(&registration.id);
+        self.expired.remove(&registration.id);
         self.workers.insert(registration.id.clone(), (shard, registration));
     }
 
-    /// A registration has gone. Its worker counts on for a while, unless it leaves.
+    /// Notes that a registration has gone. The worker still counts for a while, unless it is leaving.
     pub(crate) fn unregister(&mut self, now: Instant, id: &WorkerId) {
         if let Some((shard, registration)) = self.workers.remove(id)
             && registration.leaving.is_none()
         {
-            self.lapsed.insert(id.clone(), (now + RETURN_TIME, shard, registration));
+            self.expired.insert(id.clone(), (now + REREGISTRATION_TIME, shard, registration));
         }
     }
 
     /// Forgets workers whose registrations have not come back.
     pub(crate) fn forget_expired(&mut self, now: Instant) {
-        self.lapsed.retain(|_, (until, ..)| now < *until);
+        self.expired.retain(|_, (until, ..)| now < *until);
     }
 
-    /// Workers that count, and their shards.
-    fn counted(&self) -> impl Iterator<Item = (&ShardId, &WorkerRegistration)> {
+    /// Workers that count, with their shards.
+    fn known_workers(&self) -> impl Iterator<Item = (&ShardId, &WorkerRegistration)> {
         let present = self.workers.values().map(|(shard, registration)| (shard, registration));
-        present.chain(self.lapsed.values().map(|(_, shard, registration)| (shard, registration)))
+        present.chain(self.expired.values().map(|(_, shard, registration)| (shard, registration)))
     }
 
-    /// The shard that a job is better placed in than here: the one with most of its data, or else one with
+    /// Returns a better shard for a job than this one: the shard with most of its data, or else a shard with
     /// workers for all its steps where this one lacks some.
     pub(crate) fn better_shard<'w>(
         &self,
@@ -73,12 +73,12 @@
         };
         spec.steps.iter().find(lacks)?;
         let shards = scope.plan.shards();
-        let whole =
+        let has_all_workers =
             |shard: &&ShardId| spec.steps.iter().all(|step| self.count(shard, step, rule) > 0);
-        shards.iter().filter(|shard| **shard != scope.shard).find(whole).cloned()
+        shards.iter().filter(|shard| **shard != scope.shard).find(has_all_workers).cloned()
     }
 
-    /// The shard whose racks most tasks of a job have their data in.
+    /// Returns the shard whose racks hold the data of most tasks of a job.
     fn shard_of_data<'w>(
         &self,
         scope: &ShardScope,
@@ -90,14 +90,14 @@
             let Some(rack) = &step.affinity else {
                 continue;
             };
-            let here = own.clone().any(|registration| registration.rack == *rack);
+            let is_own = own.clone().any(|registration| registration.rack == *rack);
             let elsewhere = || {
-                let mut workers = self.counted();
+                let mut workers = self.known_workers();
                 workers
                     .find(|(_, registration)| registration.rack == *rack)
                     .map(|(shard, _)| shard.clone())
             };
-            let shard = if here { Some(scope.shard.clone()) } else { elsewhere() };
+            let shard = if is_own { Some(scope.shard.clone()) } else { elsewhere() };
             if let Some(shard) = shard {
                 *tasks.entry(shard).or_default() += step.count;
             }
@@ -105,8 +105,8 @@
         tasks.into_iter().max_by_key(|(_, count)| *count).map(|(shard, _)| shard)
     }
 
-    /// How many workers the tasks of a lasting job may use in each shard, where it is too wide for this one
-    /// alone; `own` are the workers here.
+    /// Returns how many workers in each shard the tasks of a lasting job may use, where the job is too wide
+    /// for this shard alone. `own` are the workers of this shard.
     pub(crate) fn weights<'w>(
         &self,
         scope: &ShardScope,
@@ -119,14 +119,14 @@
         if !divisible || spec.repeat.is_some() {
             return None;
         }
-        let here = own.filter(|registration| can_run_on(widest, rule, registration)).count();
-        if here >= widest.count as usize * WORKERS_A_TASK {
+        let own_count = own.filter(|registration| can_run_on(widest, rule, registration)).count();
+        if own_count >= widest.count as usize * WORKERS_PER_TASK {
             return None;
         }
-        let mut weights = vec![(scope.shard.clone(), here)];
+        let mut weights = vec![(scope.shard.clone(), own_count)];
         for shard in scope.plan.shards().into_iter().filter(|shard| *shard != scope.shard) {
             let count = self.count(&shard, widest, rule);
-            if count > 0 && weights.len() < MOST_SHARES {
+            if count > 0 && weights.len() < MAX_SHARES {
                 weights.push((shard, count));
             }
         }
@@ -134,7 +134,7 @@
     }
 
     fn count(&self, shard: &ShardId, step: &StepSpec, rule: &QueueRule) -> usize {
-        let here = self.counted().filter(|(place, _)| *place == shard);
-        here.filter(|(_, registration)| can_run_on(step, rule, registration)).count()
+        let in_shard = self.known_workers().filter(|(other, _)| *other == shard);
+        in_shard.filter(|(_, registration)| can_run_on(step, rule, registration)).count()
     }
 }
