--- a/tests/graph/cases.rs
+++ b/tests/graph/cases.rs
@@ -1,4 +1,4 @@
-//! Single cases, each of which failed once or answers one kind of trouble.
+//! Single cases, each of which failed once or covers one kind of fault.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
 }
 
 #[gtest]
-fn a_takeover_with_a_worker_that_is_gone_still_starts_what_waits() {
+fn a_takeover_with_a_lost_worker_still_starts_waiting_jobs() {
     let mut cluster = SimCluster::new(3, 2);
     cluster.run(seconds(1));
     cluster.submit("now", "a", vec![step(1, 8, 30_000)]);
@@ -56,7 +56,7 @@
 }
 
 #[gtest]
-fn a_successor_lets_go_on_what_runs() {
+fn a_successor_keeps_running_tasks() {
     let mut cluster = SimCluster::new(4, 4);
     cluster.run(seconds(1));
     cluster.submit("later", "a", vec![step(6, 2, 4_000)]);
@@ -85,7 +85,7 @@
 }
 
 #[gtest]
-fn urgent_work_comes_before_work_that_waited_longer() {
+fn an_urgent_job_runs_before_jobs_that_waited_longer() {
     let mut cluster = SimCluster::new(6, 1);
     cluster.run(seconds(1));
     cluster.submit("later", "a", vec![step(1, 8, 1_000)]);
@@ -113,7 +113,7 @@
 }
 
 #[gtest]
-fn a_store_that_refuses_for_long_has_new_jobs_rejected_for_good() {
+fn a_job_refused_by_the_store_for_long_is_rejected_for_good() {
     let mut cluster = SimCluster::new(8, 4);
     cluster.run(seconds(1));
     cluster.store.up = false;
@@ -137,7 +137,7 @@
 }
 
 #[gtest]
-fn a_silent_store_has_only_those_rejected_that_it_surely_has_not() {
+fn only_jobs_that_were_not_sent_to_a_silent_store_are_rejected() {
     let mut cluster = SimCluster::new(9, 4);
     cluster.run(seconds(1));
     cluster.store.up = false;
@@ -154,7 +154,7 @@
 }
 
 #[gtest]
-fn a_store_that_refuses_for_a_moment_costs_no_job() {
+fn a_short_refusal_of_the_store_rejects_no_job() {
     let mut cluster = SimCluster::new(10, 4);
     cluster.run(seconds(1));
     cluster.store.up = false;
@@ -167,7 +167,7 @@
 }
 
 #[gtest]
-fn a_job_whose_starts_are_not_answered_still_waits() {
+fn a_job_with_unanswered_starts_is_still_queued() {
     let mut cluster = SimCluster::new(11, 2);
     cluster.run(seconds(1));
     for worker in cluster.workers.values_mut() {
@@ -185,7 +185,7 @@
 }
 
 #[gtest]
-fn a_takeover_settles_sooner_when_the_leader_before_has_ended() {
+fn a_takeover_is_faster_when_the_predecessor_has_ended() {
     let mut cluster = SimCluster::new(12, 2);
     cluster.run(seconds(1));
     cluster.submit("now", "a", vec![step(2, 8, 60_000)]);
@@ -209,7 +209,7 @@
 }
 
 #[gtest]
-fn a_caller_with_little_time_left_is_refused_within_it() {
+fn a_caller_with_a_short_timeout_is_refused_within_it() {
     let mut cluster = SimCluster::new(13, 4);
     cluster.run(seconds(1));
     cluster.store.up = false;
@@ -220,10 +220,11 @@
     expect_that!(cluster.answers.get(&call), some(matches_pattern!(GraphAnswer::Rejected(_))));
 }
 
-// Success was shown here as soon as the workers had listed all ends, though the store could not take them. A
-// worker and the leader that are lost in the same outage take the only record with them, and the job runs again.
+// The job used to be reported as completed as soon as the workers had reported all ends, though the
+// store could not take them. If the worker and the leader are lost in the same outage, so is the
+// only record, and the job runs again.
 #[gtest]
-fn a_job_that_ends_while_the_store_is_away_is_shown_as_completed_when_it_is_back() {
+fn a_job_that_ends_in_a_store_outage_is_completed_after_it() {
     let mut cluster = SimCluster::new(14, 4);
     cluster.run(seconds(1));
     cluster.submit("now", "a", vec![step(2, 1, 500)]);
@@ -231,7 +232,7 @@
     cluster.store.up = false;
     cluster.run(seconds(1));
     expect_that!(cluster.state("a"), some(eq(GraphState::Running)));
-    // Another leader that takes over in the outage learns the ends from the workers.
+    // A leader that takes over in the outage receives the ends from the workers.
     let epoch = cluster.store.epoch;
     cluster.leaders.remove(&epoch);
     cluster.elect();
@@ -245,7 +246,7 @@
 }
 
 #[gtest]
-fn an_end_that_its_worker_may_take_away_is_not_shown_before_it_is_stored() {
+fn an_end_at_a_leaving_worker_is_not_reported_before_it_is_stored() {
     let mut cluster = SimCluster::new(14, 1);
     cluster.run(seconds(1));
     cluster.submit("now", "a", vec![step(1, 1, 500)]);
@@ -263,7 +264,7 @@
 }
 
 #[gtest]
-fn work_of_a_worker_that_has_gone_silent_goes_on_elsewhere_after_its_lease() {
+fn runs_of_a_silent_worker_are_started_elsewhere_after_its_lease() {
     let mut cluster = SimCluster::new(15, 3);
     cluster.run(seconds(1));
     cluster.submit("later", "a", vec![step(3, 8, 3_000)]);
@@ -278,7 +279,7 @@
 }
 
 #[gtest]
-fn an_end_is_seen_within_a_second_of_a_lost_poll() {
+fn an_end_is_received_within_a_second_of_a_lost_poll() {
     let mut cluster = SimCluster::new(16, 1);
     cluster.run(seconds(1));
     cluster.submit(
@@ -298,7 +299,7 @@
 fn a_worker_that_left_a_poll_unanswered_is_given_no_start() {
     let mut cluster = SimCluster::new(17, 2);
     cluster.run(seconds(1));
-    // Both have a run, so that they are looked at often, and the first has less room.
+    // Both have a run, so that they are polled often, and the first has less free capacity.
     cluster.submit("later", "a", vec![step(1, 3, 60_000), step(1, 2, 60_000)]);
     cluster.run(Duration::from_millis(500));
     for worker in cluster.workers.values_mut().take(1) {
@@ -333,7 +334,7 @@
 }
 
 #[gtest]
-fn an_urgent_job_uses_another_failure_domain_where_its_own_has_no_room() {
+fn an_urgent_job_uses_another_failure_domain_when_its_own_is_full() {
     let mut cluster = SimCluster::with_domains(19, 6, 3);
     cluster.run(seconds(1));
     cluster.submit("now", "a", vec![step(40, 1, 900)]);
@@ -343,7 +344,7 @@
 }
 
 #[gtest]
-fn a_takeover_lets_jobs_of_other_domains_go_on_while_one_is_cut_off() {
+fn a_takeover_continues_jobs_of_other_domains_while_one_is_disconnected() {
     let mut cluster = SimCluster::with_domains(20, 6, 3);
     cluster.run(seconds(1));
     let second = StepSpec { after: vec![0], ..step(6, 1, 500) };
@@ -379,7 +380,8 @@
     expect_that!(cluster.state("a"), some(eq(GraphState::Completed)));
 }
 
-/// Submits 40 jobs of one task, `pause` apart, and lets them end; gives the number that `worker` was assigned.
+/// Submits 40 jobs of one task, `pause` apart, and lets them end; returns how many of them `worker`
+/// was assigned.
 fn count_assigned(cluster: &mut SimCluster, worker: &str, pause: Duration) -> usize {
     let mut assigned = 0;
     for number in 0..40 {
@@ -393,7 +395,7 @@
 }
 
 #[gtest]
-fn a_worker_that_fails_what_it_starts_is_given_little() {
+fn a_worker_that_fails_its_runs_is_given_few_tasks() {
     let mut cluster = SimCluster::new(21, 4);
     cluster.run(seconds(1));
     cluster.workers.get_mut(&WorkerId::from("w0-0")).unwrap().fails_runs = true;
@@ -404,7 +406,7 @@
 }
 
 #[gtest]
-fn a_worker_whose_work_stands_still_is_given_little() {
+fn a_worker_whose_runs_make_no_progress_is_given_few_tasks() {
     let mut cluster = SimCluster::new(22, 4);
     cluster.run(seconds(1));
     cluster.workers.get_mut(&WorkerId::from("w0-0")).unwrap().slowdown = 1_000;
@@ -412,7 +414,7 @@
 }
 
 #[gtest]
-fn a_job_that_fails_everywhere_casts_no_worker_out() {
+fn jobs_that_fail_everywhere_exclude_no_worker() {
     let mut cluster = SimCluster::new(23, 4);
     cluster.run(seconds(1));
     for number in 0..8 {
@@ -426,8 +428,9 @@
     expect_that!(cluster.state("a"), some(eq(GraphState::Completed)));
 }
 
-// The home of an urgent job was chosen by room alone. Where a worker may hold one task of the step, or must have
-// a label, the domain with most room may have too few workers for it, and the job had to use a second domain.
+// The home domain of an urgent job was chosen by free capacity alone. Where a worker may hold one
+// task of the step, or must have a label, the domain with the most capacity may have too few
+// workers for it, and the job had to use a second domain.
 #[gtest]
 fn the_home_of_an_urgent_job_has_workers_for_its_widest_step() {
     let one_a_worker = StepSpec { max_per_worker: Some(1), ..step(3, 1, 900) };
--- a/tests/graph/crash_checker.rs
+++ b/tests/graph/crash_checker.rs
@@ -1,4 +1,4 @@
-//! What callers and workers saw of crashed workers and failed runs, and what a leader may make of it.
+//! Checks what leaders conclude from crashed workers and failed runs.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,42 +6,43 @@
 
 use crate::model_worker::ModelWorker;
 
-/// Workers that may crash under a task before its starts are counted.
+/// Number of workers that may crash under a task before its starts are counted.
 const CRASH_LIMIT: usize = 3;
-/// Starts of such a task after that, by a leader in touch, that are too many.
+/// Number of counted starts of such a task, by a leader in contact, that is an error.
 const START_LIMIT: u32 = 3;
-/// Workers that have to have crashed under a task before its job may be given up.
+/// Number of workers that must have crashed under a task before its job may fail for it.
 const MIN_CRASHES_TO_FAIL: usize = 2;
 
-/// Keeps what was seen of each task.
+/// Crashes, starts and failures of each task.
 #[derive(Debug, Default)]
 pub(crate) struct CrashChecker {
-    /// Lives of workers that crashed while a task ran on them.
+    /// Worker instances that crashed while a task ran on them.
     crashed_instances: BTreeMap<TaskName, BTreeSet<(WorkerId, InstanceStart)>>,
-    /// Starts of tasks that crash their workers, by leaders in touch, after the last crash that is allowed.
+    /// Starts of tasks that crash their workers, by leaders in contact, after [`CRASH_LIMIT`]
+    /// crashes.
     counted_starts: BTreeMap<TaskName, u32>,
-    /// Runs that workers listed as failed.
+    /// Runs that workers reported as failed.
     failed_runs: BTreeMap<TaskName, BTreeSet<RunNumber>>,
 }
 
 impl CrashChecker {
-    /// A worker has crashed with a task on it.
+    /// Records that a worker crashed while a task ran on it.
     pub(crate) fn note_crash(&mut self, worker: &ModelWorker, task: &TaskName) {
         let instance = (worker.id().clone(), worker.registration.instance_start);
         self.crashed_instances.entry(task.clone()).or_default().insert(instance);
     }
 
-    /// A worker lists a run as failed.
+    /// Records that a worker reported a run as failed.
     pub(crate) fn note_failure(&mut self, task: &TaskName, run: RunNumber) {
         self.failed_runs.entry(task.clone()).or_default().insert(run);
     }
 
-    /// Number of workers that crashed under a task.
+    /// Number of worker instances that crashed under a task.
     pub(crate) fn crashes(&self, task: &TaskName) -> usize {
         self.crashed_instances.get(task).map_or(0, BTreeSet::len)
     }
 
-    /// A leader in touch has started a task that crashes its workers.
+    /// Checks a start, by a leader in contact, of a task that crashes its workers.
     pub(crate) fn check_start(&mut self, task: &TaskName) {
         if self.crashes(task) < CRASH_LIMIT {
             return;
@@ -55,7 +56,7 @@
         );
     }
 
-    /// A job is shown as failed.
+    /// Checks that a job with the verdict `Failed` has had enough crashes or failed runs.
     pub(crate) fn check_failed(&self, record: &GraphRecord) {
         let job = &record.spec.id;
         let crashed = self.crashed_instances.iter().filter(|(task, _)| task.job == *job);
--- a/tests/graph/main.rs
+++ b/tests/graph/main.rs
@@ -1,4 +1,5 @@
-//! The decisions about job graphs under failures: a leader, workers and a store in simulated time.
+//! Tests of the decisions about job graphs under failures: leaders, workers and a store in
+//! simulated time.
 mod advice;
 mod cancellation;
 mod capacity_changes;
--- a/tests/graph/model_worker.rs
+++ b/tests/graph/model_worker.rs
@@ -1,4 +1,5 @@
-//! A worker as the leader's calls meet it: a fence, a lease on a clock of its own, runs and ends.
+//! A simulated worker: it accepts calls only of the newest leader, holds a lease on a clock of its
+//! own, and reports runs and ends.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,11 +10,11 @@
 };
 use tokio::time::Instant;
 
-/// How long a room that has shrunk does not count yet: three seconds in which a leader in touch hears of it, and
-/// one heartbeat.
+/// Time during which a reduced capacity is not enforced yet: three seconds in which a leader in
+/// contact learns of it, and one heartbeat.
 const SHRINK_GRACE: Duration = Duration::from_millis(4_500);
 
-/// A run at a worker.
+/// A run that a worker holds.
 #[derive(Clone, Debug)]
 pub(crate) struct ModelRun {
     pub(crate) run: RunNumber,
@@ -25,32 +26,32 @@
     pub(crate) stops: Option<Instant>,
 }
 
-/// A worker.
+/// State and faults of a worker.
 #[derive(Clone, Debug)]
 pub(crate) struct ModelWorker {
     pub(crate) registration: WorkerRegistration,
-    /// Its room since a moment, oldest first.
+    /// Capacities with the time from which each applies, oldest first.
     capacities: Vec<(Instant, ResourceVector)>,
     pub(crate) up: bool,
-    /// Whether calls reach it.
+    /// Whether calls reach the worker.
     pub(crate) connected: bool,
-    /// Thousandths of a second that its clock counts a second.
+    /// Milliseconds that the worker's clock advances in a second.
     pub(crate) clock_rate: u32,
-    /// Times as long as they should that tasks take.
+    /// Factor by which tasks take longer than declared.
     pub(crate) slowdown: u32,
-    /// Whether all that it starts fails.
+    /// Whether every run that the worker starts fails.
     pub(crate) fails_runs: bool,
-    /// Why it refuses every start.
+    /// Reason with which the worker refuses every start.
     pub(crate) start_refusal: Option<WorkerRefusal>,
     pub(crate) started: Instant,
-    /// Since when nothing is in the way between it and a leader.
+    /// Since when no fault has separated the worker from its leader.
     pub(crate) fault_free_since: Instant,
     pub(crate) fence: LeaderEpoch,
     pub(crate) lease: Duration,
     pub(crate) runs: BTreeMap<TaskName, ModelRun>,
     pub(crate) ends: Vec<EndReport>,
     pub(crate) last_end: u64,
-    /// Highest run of each task that was stopped or ended here.
+    /// Highest run of each task that was stopped or ended on this worker.
     pub(crate) closed_runs: BTreeMap<TaskName, RunNumber>,
 }
 
@@ -76,7 +77,8 @@
         }
     }
 
-    /// The same machine in another life: its room stays, and so does the time that a change of it takes to be heard.
+    /// Creates the next instance on the same machine: its capacity stays, and so does the time
+    /// until a change of it has been reported.
     pub(crate) fn next_instance(
         &self,
         registration: WorkerRegistration,
@@ -101,13 +103,14 @@
         needs.fold(ResourceVector::default(), |sum, need| sum.saturating_add(&need))
     }
 
-    /// Its room is another from now on, and it says so with its next heartbeat.
+    /// Changes the capacity from now on; the next heartbeat reports it.
     pub(crate) fn resize(&mut self, now: Instant, capacity: ResourceVector) {
         self.registration.capacity = capacity;
         self.capacities.push((now, capacity));
     }
 
-    /// The most that it may hold by a start that was sent at a moment: a room that has shrunk counts only after a while.
+    /// The largest use that a start sent at this time may lead to: a reduced capacity is enforced
+    /// only after [`SHRINK_GRACE`].
     pub(crate) fn max_capacity(&self, sent: Instant) -> ResourceVector {
         let since = sent.checked_sub(SHRINK_GRACE).unwrap_or(sent);
         let ends = self.capacities.iter().skip(1).map(|(from, _)| Some(*from)).chain([None]);
@@ -120,7 +123,7 @@
         })
     }
 
-    /// Lets time pass: ends what is over, kills all when the lease has run out.
+    /// Ends the runs that are over, and all runs once the lease has expired.
     pub(crate) fn advance(&mut self, now: Instant) {
         let expired = self.clock(now) > self.lease;
         let tasks: Vec<TaskName> = self.runs.keys().cloned().collect();
@@ -170,12 +173,12 @@
         self.lease = self.lease.max(until);
     }
 
-    /// Whether a task of a job was started here.
+    /// Whether a task of a job was started on this worker.
     pub(crate) fn was_assigned(&self, job: &str) -> bool {
         self.runs.keys().chain(self.closed_runs.keys()).any(|task| &*task.job == job)
     }
 
-    /// Share of a run that is done, in percent.
+    /// Progress of a run, in percent.
     fn percent(&self, run: &ModelRun, now: Instant) -> u32 {
         let declared_run_time = (run.declared_run_time * self.slowdown).as_millis().max(1);
         let passed = now.saturating_duration_since(run.started_at).as_millis();
--- a/tests/graph/random.rs
+++ b/tests/graph/random.rs
@@ -1,7 +1,7 @@
-//! Long random runs: seeded, with all faults together and twice.
+//! Seeded random runs that combine all faults, including two leaders at a time.
 //!
-//! `KELPLINK_RANDOM_SECONDS` lets them run for that long with ever new seeds, from
-//! `KELPLINK_RANDOM_FIRST` on, so that several can run side by side; `KELPLINK_RANDOM_SEED` repeats one.
+//! `KELPLINK_RANDOM_SECONDS` runs them for that long with new seeds, from `KELPLINK_RANDOM_FIRST`
+//! on, so that several processes can run side by side; `KELPLINK_RANDOM_SEED` repeats one seed.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -18,25 +18,24 @@
 const SHORT_SEEDS: std::ops::Range<u64> = 0..12;
 /// Seeds that failed once; `docs/MEASUREMENTS.md` says why.
 const REGRESSION_SEEDS: [u64; 2] = [1_000_004, 8_000_006];
-/// Seeds of long runs begin here.
+/// First seed of long runs.
 const LONG_SEEDS: u64 = 1_000_000;
-/// Workers.
 const WORKERS: u32 = 8;
 /// Seeds from here on spread the workers over three failure domains.
 const DOMAIN_SEEDS: u64 = 5_000_000;
-/// Such seeds that `cargo test` runs.
+/// Seeds of this kind that `cargo test` runs.
 const SHORT_DOMAIN_SEEDS: std::ops::Range<u64> = DOMAIN_SEEDS..DOMAIN_SEEDS + 12;
-/// Seeds from here on have tasks that crash their workers, and workers whose room shrinks and grows.
+/// Seeds from here on have tasks that crash their workers, and workers whose capacity changes.
 const CRASH_SEEDS: u64 = 20_000_000;
-/// One that stands in a test of its own: crashes that no leader saw.
+/// Seed of this kind that has its own test: crashes that no leader saw.
 const UNSEEN_CRASHES_SEED: u64 = CRASH_SEEDS + 11;
-/// Such seeds that `cargo test` runs.
+/// Seeds of this kind that `cargo test` runs.
 const SHORT_CRASHES: std::ops::Range<u64> = CRASH_SEEDS..CRASH_SEEDS + 16;
-/// Seeds from here on are played like those that they lie above it, with workers that start again under their ids.
+/// Offset of seeds whose workers restart under their ids; the rest of the seed selects its kind.
 const RESTART_SEEDS: u64 = 100_000_000;
-/// Such seeds that `cargo test` runs, of each kind.
+/// Number of such seeds of each kind that `cargo test` runs.
 const SHORT_RESTARTS: u64 = 8;
-/// Time in which everything must have ended once all faults are over.
+/// Time in which every job must have ended once all faults are over.
 const SETTLE_TIME: Duration = Duration::from_secs(90);
 
 struct RandomRun {
@@ -46,7 +45,7 @@
     cancelled: BTreeSet<String>,
     /// Jobs with a task that crashes its workers.
     crashing_jobs: BTreeSet<String>,
-    /// Whether there are such jobs, and rooms that change.
+    /// Whether the run has such jobs, and workers whose capacity changes.
     has_crashes: bool,
     stale_leaders: u32,
     last_instance: u32,
@@ -114,8 +113,8 @@
         self.jobs.insert(id);
     }
 
-    /// Has one task of a job crash each worker that starts it. No member of a gang: here its members begin one by one,
-    /// and one that has ended stands for all.
+    /// Lets one task of a job crash each worker that starts it. Members of gangs are left out: in
+    /// this cluster they start one by one, and the end of one counts for all.
     fn add_crashing_task(&mut self, id: &str, steps: &[StepSpec]) {
         let step = self.pick(u32::try_from(steps.len()).unwrap());
         if steps[step as usize].gang {
@@ -123,7 +122,7 @@
         }
         let index = self.pick(steps[step as usize].count);
         let after = Duration::from_millis(u64::from(5 + self.pick(300)));
-        // A task that has succeeded before its worker goes is no such task.
+        // The worker must crash before the task can succeed.
         let after = after.min(steps[step as usize].estimate / 2);
         self.cluster
             .crashing_tasks
@@ -131,7 +130,7 @@
         self.crashing_jobs.insert(id.to_owned());
     }
 
-    /// A worker's room becomes a part of what it was at first.
+    /// Sets a worker's capacity to a part of its initial capacity.
     fn resize_worker(&mut self) {
         let ids: Vec<WorkerId> = self.cluster.workers.keys().cloned().collect();
         let id = &ids[self.pick(WORKERS) as usize % ids.len()];
@@ -185,8 +184,8 @@
         self.cluster.run(time);
     }
 
-    /// A new leader takes over. Only the store makes leaders, so with tasks that crash their workers it is up by then:
-    /// a count of crashes that no leader could store would begin anew with each.
+    /// Elects a new leader. Elections need the store, so with tasks that crash their workers it is
+    /// up by then: otherwise each leader would count the crashes anew without having stored them.
     fn elect(&mut self) {
         self.cluster.store.up |= self.has_crashes;
         self.cluster.elect();
@@ -206,7 +205,7 @@
         self.cluster.replace_worker(number, instance);
     }
 
-    /// All faults end, and everything that was accepted comes to its end.
+    /// Ends all faults, and checks that every accepted job ends.
     fn finish(&mut self) {
         self.cluster.faults = MessageFaults::default();
         self.cluster.failure_permille = 0;
@@ -293,110 +292,116 @@
     });
 }
 
-// A task crashed its workers under four leaders in turn, each of which was lost before it had noticed that the worker was
-// silent. The fifth counted from the first again, and three more starts followed. A leader that never heard a worker
-// which is lost now notes the starts of tasks that may have been there as it makes them: of 300 such seeds 2 fail, in
-// place of 8.
+// A task crashed its workers under four leaders in turn, each of which was lost before it had
+// noticed that the worker was silent. The fifth counted from one again, and three more starts
+// followed. A leader that has lost a worker before contact now records starts of tasks that may
+// have run there when it sends them: of 300 such seeds 2 fail instead of 8.
 #[gtest]
 fn seed_20000011_counts_crashes_that_no_leader_saw() {
     run(UNSEEN_CRASHES_SEED);
 }
 
-// A leader that notes such a start was itself lost before the store had the note. Since late jobs are served by when they
-// lose what is left, this seed does not come to it any more; three others in 300 do.
+// A leader that recorded such a start was lost before the store had the record. Since late jobs are
+// ordered by the time at which they lose their remaining value, this seed no longer reaches the
+// fault; three others in 300 do.
 #[gtest]
-fn seed_20000157_starts_a_task_on_after_notes_that_no_store_took() {
+fn seed_20000157_limits_starts_after_suspect_runs_that_were_not_stored() {
     run(CRASH_SEEDS + 157);
 }
 
-// The same.
+// The same fault as with seed 20000157.
 #[gtest]
-fn seed_20000070_starts_a_task_on_after_notes_that_no_store_took() {
+fn seed_20000070_limits_starts_after_suspect_runs_that_were_not_stored() {
     run(CRASH_SEEDS + 70);
 }
 
-// The same.
+// The same fault as with seed 20000157.
 #[gtest]
-fn seed_20000141_starts_a_task_on_after_notes_that_no_store_took() {
+fn seed_20000141_limits_starts_after_suspect_runs_that_were_not_stored() {
     run(CRASH_SEEDS + 141);
 }
 
-// The same.
+// The same fault as with seed 20000157.
 #[gtest]
-fn seed_20000221_starts_a_task_on_after_notes_that_no_store_took() {
+fn seed_20000221_limits_starts_after_suspect_runs_that_were_not_stored() {
     run(CRASH_SEEDS + 221);
 }
 
-// The first crashes of a task left no trace, one under each of two leaders; under the third it crashed three workers that were
-// silent for longer than their leases, and went out again before the last of them was back.
+// The first two crashes of a task, one under each of two leaders, were not stored. Under the third
+// leader the task crashed three workers that were silent for longer than their leases, and it was
+// started again before the last of them was back.
 #[gtest]
-fn seed_23020113_starts_a_task_on_after_first_crashes_that_no_store_took() {
+fn seed_23020113_limits_starts_after_first_crashes_that_were_not_stored() {
     run(23_020_113);
 }
 
-// The same; it failed on code before starts were announced as well.
+// The same fault; the seed also failed before starts were announced.
 #[gtest]
-fn seed_23000577_starts_a_task_on_after_first_crashes_that_no_store_took() {
+fn seed_23000577_limits_starts_after_first_crashes_that_were_not_stored() {
     run(23_000_577);
 }
 
-// Red: see KNOWN-RED.txt. Two crashes left no trace with their leaders; of the three that did, the last fell together with other
-// workers', and four are asked for then.
+// Known to fail, see KNOWN-RED.txt. Two crashes were not stored before their leaders were lost. Of
+// the three that were, the last coincided with crashes of other workers, and the limit is four
+// then.
 #[gtest]
 fn seed_33500585_starts_a_task_on_after_crashes_beside_others() {
     run(33_500_585);
 }
 
-// The same with workers that restart under their ids: their return proves the crash, and the start went out before it.
+// The same fault with workers that restart under their ids: their return proves the crash, and the
+// start was sent before it.
 #[gtest]
-fn seeds_of_restarts_start_no_task_on_before_a_silent_worker_is_back() {
+fn seeds_of_restarts_limit_starts_before_a_silent_worker_is_back() {
     [124_000_326, 125_000_167, 126_000_186].into_iter().for_each(|seed| {
         run(seed);
     });
 }
 
-// An end was acknowledged although its task was begun again, in one of some thousand seeds, by which way is not traced.
-// Since suspected tasks start elsewhere and later, this seed does not come to it any more.
+// An end was acknowledged although its task had been started again, in one of some thousand seeds;
+// the cause was not traced. Since suspected tasks start on other workers and later, this seed no
+// longer reaches the fault.
 #[gtest]
-fn seed_6000367_notes_no_end_of_a_task_that_was_begun_again() {
+fn seed_6000367_acknowledges_no_end_of_a_task_that_was_started_again() {
     run(6_000_367);
 }
 
-// Starts that no worker carried out were noted as ones that may have crashed their worker, and after a takeover the job
-// was shown as running and left out of the count.
+// Starts that no worker carried out were stored as suspect runs, and after a takeover the job was
+// reported as running and missing from the count of pending jobs.
 #[gtest]
 fn seed_2_counts_a_job_whose_starts_were_never_carried_out() {
     run(2);
 }
 
-// The same, beside tasks that crash their workers.
+// The same fault, with tasks that crash their workers.
 #[gtest]
 fn seed_20000012_counts_a_job_whose_starts_were_never_carried_out() {
     run(CRASH_SEEDS + 12);
 }
 
-// A leader began a task again in the moment between its right to do so and its note of the first run that counts; the end
-// of the earlier run was acknowledged two leaders later.
+// A leader started a task again after it was allowed to, but before it had recorded the first run
+// that counts. Two leaders later the end of the earlier run was acknowledged.
 #[gtest]
-fn seed_12000050_notes_no_end_of_a_task_that_was_begun_again_without_a_floor() {
+fn seed_12000050_acknowledges_no_end_of_a_task_that_was_started_again_without_a_floor() {
     run(12_000_050);
 }
 
-// The same where the leader had heard the end of a run before that one: it took the task for known, and did not void the run
-// that the worker it had not heard had ended.
+// The same fault where the leader had received the end of a run before that one: it treated the
+// task as known, and did not invalidate the run that had ended on a worker it had no contact with.
 #[gtest]
-fn seed_7400752_notes_no_end_of_a_task_an_earlier_run_of_which_was_heard() {
+fn seed_7400752_acknowledges_no_end_of_a_task_with_an_earlier_known_run() {
     run(7_400_752);
 }
 
-// Two starts that never arrived, at workers that went for other reasons, counted as crashes: after the first true one the
-// job was given up.
+// Two starts that never arrived, at workers that were lost for other reasons, counted as crashes:
+// the job was given up after the first real one.
 #[gtest]
 fn seed_32000217_gives_up_no_task_for_starts_that_never_arrived() {
     run(32_000_217);
 }
 
-// Trials of starts that were held until the store had them noted: a member of a gang was started after its job had ended.
+// With starts that were held back until the store had them recorded as suspect runs, a member of a
+// gang was started after its job had ended.
 #[gtest]
 fn seed_20700034_starts_no_member_of_a_gang_after_its_job_has_ended() {
     run(20_700_034);
--- a/tests/graph/random_cancellation.rs
+++ b/tests/graph/random_cancellation.rs
@@ -1,7 +1,8 @@
-//! Random runs in which bound jobs are cancelled: late orders, leaders that go, workers that come and go.
+//! Random runs in which most jobs are cancelled, with late commands, leaders that are replaced, and
+//! workers that come and go.
 //!
-//! The world itself checks that no run of a job that has ended goes on. `KELPLINK_CANCEL_SEEDS` plays that
-//! many seeds, from `KELPLINK_RANDOM_FIRST` on; `KELPLINK_RANDOM_SEED` repeats one.
+//! The simulated cluster checks that no run of an ended job continues. `KELPLINK_CANCEL_SEEDS` sets
+//! the number of seeds, from `KELPLINK_RANDOM_FIRST` on; `KELPLINK_RANDOM_SEED` repeats one seed.
 
 use std::time::Duration;
 
@@ -13,13 +14,12 @@
 
 /// Rounds in one run.
 const ROUNDS: u32 = 20;
-/// Seeds that `cargo test` plays.
+/// Number of seeds that `cargo test` runs.
 const SHORT_SEEDS: u64 = 20;
-/// Workers.
 const WORKERS: u32 = 6;
-/// Seeds from here on have workers that start again under their ids.
+/// Seeds from here on have workers that restart under their ids.
 const RESTART_SEEDS: u64 = 100_000_000;
-/// Time in which a run of a job that is cancelled must be gone once all faults are over.
+/// Time in which the runs of cancelled jobs must have ended once all faults are over.
 const SETTLE_TIME: Duration = Duration::from_secs(3);
 
 struct CancelRun {
@@ -80,7 +80,7 @@
         self.cluster.workers.keys().nth(index).unwrap().clone()
     }
 
-    /// A worker's registration goes for a while.
+    /// Removes a worker's registration for a while.
     fn unregister(&mut self) {
         let (id, now) = (self.pick_worker(), self.cluster.now);
         if let Some(leader) = self.cluster.leader() {
@@ -94,7 +94,8 @@
         }
     }
 
-    /// A worker crashes, comes back under another name, and its old registration is read once more.
+    /// Crashes a worker that comes back under another id; then the leader reads its old
+    /// registration once more.
     fn replace_worker(&mut self) {
         let (number, now) = (self.pick(WORKERS), self.cluster.now);
         let prefix = format!("w{number}-");
@@ -133,7 +134,7 @@
         self.run_up_to(2_000);
     }
 
-    /// All faults end, and all jobs are cancelled.
+    /// Ends all faults, and cancels all jobs.
     fn finish(&mut self) {
         self.cluster.faults = MessageFaults::default();
         self.cluster.store.up = true;
@@ -146,10 +147,10 @@
             self.cluster.cancel(&id);
         }
         self.cluster.run(SETTLE_TIME);
-        // Late orders of all leaders arrive.
+        // Late commands of all leaders arrive.
         self.cluster.run(Duration::from_secs(15));
         let runs: Vec<_> = self.cluster.workers.values().flat_map(|worker| &worker.runs).collect();
-        assert!(runs.is_empty(), "{runs:?} go on");
+        assert!(runs.is_empty(), "runs of cancelled jobs continue: {runs:?}");
     }
 }
 
@@ -175,7 +176,7 @@
         ),
     };
     let longest = (first..first + count).map(run).max().unwrap_or_default();
-    println!("{count} seeds; a run of an ended job went on for {longest:?} at most");
+    println!("{count} seeds; a run of an ended job continued for {longest:?} at most");
 }
 
 #[gtest]
--- a/tests/graph/random_shards.rs
+++ b/tests/graph/random_shards.rs
@@ -1,8 +1,9 @@
-//! Long random runs over several shards: seeded, with kills, succeeded leaders, cuts, late orders and a store
-//! that goes away, and jobs that several shards run or that come in at two of them.
+//! Seeded random runs over several shards: leaders that are killed or succeeded, disconnected
+//! workers, late commands, outages of the store, jobs that several shards run, and jobs that are
+//! submitted in two of them.
 //!
-//! `KELPLINK_SHARD_SECONDS` lets them run for that long with ever new seeds, from `KELPLINK_RANDOM_FIRST` on;
-//! `KELPLINK_SHARD_SEED` repeats one.
+//! `KELPLINK_SHARD_SECONDS` runs them for that long with new seeds, from `KELPLINK_RANDOM_FIRST`
+//! on; `KELPLINK_SHARD_SEED` repeats one seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -17,21 +18,22 @@
 const ROUNDS: u32 = 20;
 /// Seeds that `cargo test` runs.
 const SHORT_SEEDS: std::ops::Range<u64> = 0..12;
-/// Seeds that failed once: a share's task was started while the notice of the job's cancellation was on its way,
-/// which is allowed for 50 ms; ends were acknowledged of which a leader that was lost had begun the task again; a
-/// worker with such an end was given no more work, and the other in its shard was full; and the world's advisor allowed
-/// one worker of a shard's three, which was full with lasting tasks, while other shards had room. The last is allowed
-/// by the world no more: a share that its shard cannot place is not passed on yet.
+/// Seeds that failed once, in this order: a task of a share was started while the notice of the
+/// job's cancellation was in transit, which is allowed for 50 ms; ends were acknowledged although a
+/// leader that was lost had started the task again; a worker with such an end was given no more
+/// work, and the other worker of its shard was full; the advisor allowed one of a shard's three
+/// workers, which was full with lasting tasks, while other shards had free capacity. The simulated
+/// advisor no longer does the last, because a share that its shard cannot place is not yet passed
+/// on.
 const REGRESSION_SEEDS: [u64; 4] = [1_000_638, 3_000_000, 4_000_091, 5_000_890];
-/// Seeds of long runs begin here.
+/// First seed of long runs.
 const LONG_SEEDS: u64 = 1_000_000;
-/// Workers.
 const WORKERS: u32 = 12;
-/// Seeds from here on have workers that start again under their ids.
+/// Seeds from here on have workers that restart under their ids.
 const RESTART_SEEDS: u64 = 100_000_000;
-/// Such seeds that `cargo test` runs.
+/// Seeds of this kind that `cargo test` runs.
 const SHORT_RESTARTS: std::ops::Range<u64> = RESTART_SEEDS..RESTART_SEEDS + 8;
-/// Time in which everything must have ended once all faults are over.
+/// Time in which every job must have ended, or run all its lasting tasks, once all faults are over.
 const SETTLE_TIME: Duration = Duration::from_secs(90);
 
 struct ShardRun {
@@ -70,7 +72,7 @@
         let id = format!("job{}", self.calls.len());
         let steps = match self.pick(4) {
             0 => {
-                // The largest that all workers hold beside others.
+                // At most as many tasks as the workers can hold beside other jobs.
                 let count = self.pick(4) + 1;
                 self.lasting.insert(id.clone(), count);
                 vec![StepSpec { lasting: true, ..step(count, 1, 600_000) }]
@@ -140,7 +142,7 @@
         }
     }
 
-    /// Cancels the first job at the leader that has it.
+    /// Cancels the first job at the leader that accepted it.
     fn cancel(&mut self) {
         let open = self.cluster.jobs_by_shard().into_iter();
         let first = open.filter(|(id, _)| !self.cancelled.contains(id)).min();
@@ -150,7 +152,7 @@
         }
     }
 
-    /// All faults end, and everything that was accepted comes to its end or to all its tasks.
+    /// Ends all faults, and checks that every accepted job ends or runs all its lasting tasks.
     fn finish(&mut self) {
         self.cluster.faults = MessageFaults::default();
         self.cluster.failure_permille = 0;
@@ -220,28 +222,30 @@
     });
 }
 
-// Starts that no worker carried out were noted as ones that may have crashed their worker, and after a takeover of the
-// shard the job was shown as running and left out of the count.
+// Starts that no worker carried out were stored as suspect runs, and after a takeover of the shard
+// the job was reported as running and missing from the count of pending jobs.
 #[gtest]
 fn shard_seed_7_counts_a_job_whose_starts_were_never_carried_out() {
     run(7);
 }
 
-// With starts held until the store had them noted, a job was given up after one crash and one failure.
+// With starts that were held back until the store had them recorded, a job was given up after one
+// crash and one failure.
 #[gtest]
 fn shard_seed_34000685_gives_up_no_task_after_one_crash() {
     run(34_000_685);
 }
 
-// Red: see KNOWN-RED.txt. The only worker in reach of a shard crashed twice by itself, each time within a second of a start of the
-// same lasting task, which was given up for it.
+// Known to fail, see KNOWN-RED.txt. The only reachable worker of a shard crashed twice for reasons
+// of its own, each time within a second of a start of the same lasting task, which was given up for
+// it.
 #[gtest]
 fn shard_seed_117000005_gives_up_no_task_for_a_machine_that_crashes_by_itself() {
     run(117_000_005);
 }
 
-// Red: see KNOWN-RED.txt. Of a shard's two workers one was full with lasting tasks, and advice did not allow the other: the job waited for good,
-// with room for it in other shards.
+// Known to fail, see KNOWN-RED.txt. One of a shard's two workers was full with lasting tasks, and
+// advice did not allow the other: the job waited forever although other shards had free capacity.
 #[gtest]
 fn shard_seed_118000759_passes_on_a_job_that_its_shard_cannot_place() {
     run(118_000_759);
--- a/tests/graph/sim_cluster.rs
+++ b/tests/graph/sim_cluster.rs
@@ -1,4 +1,5 @@
-//! Leaders, workers and a store that exchange messages which may be lost, late and out of command.
+//! A simulated cluster: leaders, workers and a store exchange messages that may be lost, delayed or
+//! reordered.
 
 mod messages;
 mod store;
@@ -26,20 +27,20 @@
     retention: Duration::from_secs(120),
     lease_extension_window: Duration::from_secs(7),
 };
-/// How long after its wait a poll without an answer counts as lost.
+/// How long after its wait time a poll without an answer counts as lost.
 const POLL_SLACK: Duration = Duration::from_millis(250);
-/// Time from a look at all leaders to the next.
+/// Simulated time that passes from one check of all leaders to the next.
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
-/// How long a call for advice takes where the advisor is quick.
+/// Duration of an advice call to a fast advisor.
 const FAST_ADVICE_TIME: Duration = Duration::from_millis(35);
-/// How long a run of a job that has ended may go on where nothing is in the way: two polls of an idle
+/// Longest time that a run of an ended job may continue without faults: two polls of an idle
 /// worker, the first of which was lost, and a stop.
 const MAX_STOP_TIME: Duration = Duration::from_millis(2_500);
-/// How long a cancellation takes to the other shards of a job, where nothing is in the way.
+/// Time that a cancellation takes to reach the other shards of a job without faults.
 const NOTICE_DELAY: Duration = Duration::from_millis(50);
-/// A leader is in touch once store and links have been calm for this long.
+/// A leader is in contact once the store and the links have been free of faults for this long.
 const CONTACT_DELAY: Duration = Duration::from_millis(3_000);
-/// How often a leader whose store answers is told so.
+/// Interval at which a leader's lease is renewed while the store is up, in milliseconds.
 const RENEWAL_INTERVAL_MS: u64 = 500;
 
 pub(crate) struct SimCluster {
@@ -47,10 +48,10 @@
     pub(crate) now: Instant,
     simulation_start: Instant,
     pub(crate) faults: MessageFaults,
-    /// How many of the next polls do not arrive.
+    /// Number of upcoming polls that do not arrive.
     pub(crate) polls_to_lose: u32,
     pub(crate) planned_faults: PlannedFaults,
-    /// How many of the next calls for advice have no answer.
+    /// Number of upcoming advice calls that get no answer.
     pub(crate) advice_to_lose: u32,
     domains: u32,
     pub(crate) store: ModelStore,
@@ -58,7 +59,7 @@
     pub(crate) leaders: BTreeMap<LeaderEpoch, GraphController>,
     /// Shard of each leader.
     leader_shards: BTreeMap<LeaderEpoch, ShardId>,
-    /// Shard that each job was accepted in.
+    /// Shard in which each job was accepted.
     job_shards: BTreeMap<GraphId, ShardId>,
     pub(crate) workers: BTreeMap<WorkerId, ModelWorker>,
     pub(crate) answers: BTreeMap<CallId, GraphAnswer>,
@@ -66,42 +67,42 @@
     messages: BTreeMap<(Instant, u64), Message>,
     message_number: u64,
     last_call: CallId,
-    /// Ends that were acknowledged while the worker's lease held.
+    /// Ends that were acknowledged while the worker's lease was valid.
     acknowledged_ends: BTreeMap<TaskName, Vec<EndKind>>,
-    /// Highest run of each task that has begun.
+    /// Highest run of each task that a worker has started.
     latest_runs: BTreeMap<TaskName, RunNumber>,
-    /// Whether no end may be noted whose task has been begun again.
+    /// Whether acknowledging the end of a run is an error once its task has been started again.
     pub(crate) strict_acks: bool,
     done_tasks: BTreeSet<TaskName>,
-    /// When the store took a job's verdict.
+    /// When the store took the verdict of each job.
     verdict_times: BTreeMap<GraphId, Instant>,
-    /// Workers that advice allows every step, where it does not follow from their numbers.
+    /// Workers that advice allows for every step; `None` lets it depend on the workers' numbers.
     pub(crate) allowed: Option<BTreeSet<WorkerId>>,
     /// How long callers wait.
     pub(crate) caller_timeout: Duration,
     /// Share of runs that fail, in thousandths.
     pub(crate) failure_permille: u32,
-    /// Jobs every run of which fails.
+    /// Jobs whose runs all fail.
     pub(crate) failing_jobs: BTreeSet<GraphId>,
-    /// Tasks that crash each worker that starts them, and how long after the start.
+    /// Tasks that crash each worker that starts them, with the delay after the start.
     pub(crate) crashing_tasks: BTreeMap<TaskName, Duration>,
-    /// How long a worker that a task has crashed is away.
+    /// How long a crashed worker stays down.
     pub(crate) crash_downtime: Duration,
-    /// Whether calls to a worker that is down are refused at once, in place of being left without an answer.
+    /// Whether calls to a worker that is down are refused at once instead of being left unanswered.
     pub(crate) refuses_when_down: bool,
     replacements: u32,
-    /// Whether every worker that crashes comes back under its id.
+    /// Whether every crashed worker restarts under its id.
     pub(crate) keeps_all_ids: bool,
-    /// Draws which workers come back under their ids, and when; without it all have another.
+    /// Draws which workers restart under their ids, and when; without it all get a new id.
     pub(crate) restart_rng: Option<StdRng>,
-    /// Since when the store is up and no message is lost, late or unanswered.
+    /// Since when the store has been up and no message has been lost, delayed or unanswered.
     fault_free_since: Instant,
-    /// What was seen of crashes and failures.
+    /// Checks what leaders conclude from crashes and failures.
     pub(crate) crash_checker: CrashChecker,
-    /// What was seen of jobs that wait.
+    /// Checks how leaders report jobs that wait.
     waiting_checker: WaitingChecker,
     pub(crate) started_runs: u64,
-    /// Longest time that a run of an ended job went on where nothing was in the way.
+    /// Longest time that a run of an ended job continued without faults.
     pub(crate) longest_stop: Duration,
 }
 
@@ -123,7 +124,8 @@
     }
 }
 
-/// A queue whose advisor takes its time: a call about 30 workers takes 645 ms, a third of a ticket's life.
+/// A queue with a slow advisor: a call about 30 workers takes 645 ms, a third of a ticket's
+/// lifetime.
 fn slow_advice_rule(id: &str, priority: u32) -> QueueRule {
     let advice = AdviceRule {
         call: Duration::from_millis(450),
@@ -146,7 +148,7 @@
     Duration::from_secs(seconds)
 }
 
-/// Tells a leader of a worker.
+/// Reports a worker's registration to a leader.
 fn register(
     plan: &ShardPlan,
     shard: &ShardId,
@@ -161,7 +163,7 @@
     }
 }
 
-/// Number of a job's runs at workers that are up.
+/// Number of runs of a job at workers that are up.
 pub(crate) fn count_runs(cluster: &SimCluster, job: &str) -> usize {
     let up = cluster.workers.values().filter(|worker| worker.up);
     let tasks = up.flat_map(|worker| worker.runs.keys());
@@ -173,12 +175,13 @@
         Self::with_domains(seed, workers, 1)
     }
 
-    /// Workers that take turns among failure domains.
+    /// Creates a cluster whose workers are distributed round-robin over failure domains.
     pub(crate) fn with_domains(seed: u64, workers: u32, domains: u32) -> Self {
         Self::with_plan(seed, workers, domains, ShardPlan::undivided())
     }
 
-    /// Workers that take turns among failure domains, each of which is a shard.
+    /// Creates a cluster whose workers are distributed round-robin over failure domains, each of
+    /// which is a shard.
     pub(crate) fn sharded(seed: u64, workers: u32, domains: u32) -> Self {
         let shards = (0..domains).map(|domain| (DomainId::from(format!("d{domain}")), 1));
         Self::with_plan(seed, workers, domains, ShardPlan::by_domain(shards.collect()))
@@ -250,7 +253,7 @@
         1_000_000 + self.now.saturating_duration_since(self.simulation_start).as_millis() as u64
     }
 
-    /// Starts a worker, or another life of it at the same address.
+    /// Starts a worker, or another instance of it at the same address.
     pub(crate) fn add_worker(&mut self, number: u32, instance: u32) {
         let id: WorkerId = format!("w{number}-{instance}").into();
         let registration = WorkerRegistration {
@@ -286,13 +289,13 @@
         }
     }
 
-    /// A new leader takes over; earlier ones may go on without knowing.
+    /// Elects a new leader; earlier leaders may continue without learning of it.
     pub(crate) fn elect(&mut self) -> LeaderEpoch {
         let shard = self.plan.shards()[0].clone();
         self.elect_in(&shard)
     }
 
-    /// A new leader takes over a shard; earlier ones may go on without knowing.
+    /// Elects a new leader of a shard; earlier leaders may continue without learning of it.
     pub(crate) fn elect_in(&mut self, shard: &ShardId) -> LeaderEpoch {
         self.store.epoch += 1;
         let epoch = self.store.epoch;
@@ -330,13 +333,13 @@
         epoch
     }
 
-    /// Whether a leader is the last that was elected in its shard.
+    /// Whether a leader is the last one elected in its shard.
     fn is_current(&self, epoch: LeaderEpoch) -> bool {
         let shard = self.leader_shards.get(&epoch).and_then(|shard| self.store.shards.get(shard));
         shard.is_some_and(|shard| shard.epoch == epoch)
     }
 
-    /// The leader that was elected last in a shard.
+    /// Epoch of the last leader elected in a shard.
     pub(crate) fn epoch_in(&self, shard: &ShardId) -> LeaderEpoch {
         self.store.shards[shard].epoch
     }
@@ -346,7 +349,7 @@
         self.leaders.get_mut(&epoch)
     }
 
-    /// Submits a job in a shard; it goes elsewhere where that is better.
+    /// Submits a job in a shard, whose leader may redirect it to another shard.
     pub(crate) fn submit_in(
         &mut self,
         shard: &ShardId,
@@ -372,12 +375,12 @@
         call
     }
 
-    /// All accepted jobs, and where.
+    /// All accepted jobs, with the shard that accepted them.
     pub(crate) fn jobs_by_shard(&self) -> Vec<(String, ShardId)> {
         self.job_shards.iter().map(|(id, shard)| (id.to_string(), shard.clone())).collect()
     }
 
-    /// A job's state as the leader that accepted it tells it.
+    /// State of a job as reported by the leader that accepted it.
     pub(crate) fn state_in(&mut self, id: &str) -> Option<GraphState> {
         let id: GraphId = id.into();
         let shard = self.job_shards.get(&id)?.clone();
@@ -447,7 +450,7 @@
         job.durable.then(|| job.state())
     }
 
-    /// Lets time pass.
+    /// Advances simulated time.
     pub(crate) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -581,7 +584,7 @@
         }
     }
 
-    /// Has an command carried out late or never; it will not be answered.
+    /// Delivers a command late or never; it is not answered.
     fn delay_command(
         &mut self,
         delay: Option<Duration>,
@@ -593,7 +596,7 @@
         false
     }
 
-    /// Sends an command, loses it, or has it carried out late; tells whether it will be answered.
+    /// Delivers a command, loses it, or delivers it late; returns whether it will be answered.
     fn send_command(&mut self, latency: Duration, message: impl FnOnce(bool) -> Message) -> bool {
         if self.draw_chance(self.faults.lost) {
             return false;
@@ -604,7 +607,7 @@
             let (Message::Start { command: StartCommand { worker, .. }, .. }
             | Message::Stop { instance: InstanceId { worker, .. }, .. }) = &command
             else {
-                panic!("{command:?} is no order");
+                panic!("{command:?} is not a command");
             };
             let worker = worker.clone();
             let instance_start =
@@ -694,8 +697,8 @@
             }
             Message::Heartbeat { worker } => self.heartbeat(&worker),
             Message::Advised { leader, call } => {
-                // One worker in eight is not allowed, so that every step that a run submits can run.
-                // Where there are several shards, one in eight of each.
+                // Denies one worker in eight (of each shard, where there are several), so that every step
+                // that a run submits can still be placed.
                 let divisor = if self.plan.is_divided() { self.domains } else { 1 };
                 let digits = if self.plan.is_divided() { 2 } else { 1 };
                 let number = |worker: &str| {
@@ -753,14 +756,15 @@
         let last_lease_expiry = expiries.map(|end| end.number).max().unwrap_or(0);
         worker.ends.retain(|end| end.number > acked);
         for end in acknowledged {
-            // A lease that ends with nothing running leaves no trace: such an end stands for good.
+            // A lease that expires while nothing runs leaves no record on the worker, so only an end
+            // before a recorded expiry may belong to a task that has been started again.
             let started_again = self.latest_runs.get(&end.task).is_some_and(|run| *run > end.run);
             let step = self.store.jobs.get(&end.task.job);
             let step = step.map(|(record, _)| &record.spec.steps[end.task.key.step.step as usize]);
             let counts = end.kind == EndKind::Done && step.is_some_and(|step| !step.lasting);
             assert!(
                 !counts || end.number < last_lease_expiry || !started_again || !self.strict_acks,
-                "the end of {} run {} is noted after it was begun again",
+                "the end of {} run {} is acknowledged after the task was started again",
                 end.task,
                 end.run
             );
@@ -786,7 +790,7 @@
             |worker: &&mut ModelWorker| worker.registration.instance_start == instance_start;
         let Some(worker) = self.reachable(&id).filter(same_instance) else {
             let (failure, after) = match self.failure_at(&id, Duration::from_millis(600)) {
-                // The call was under way when the worker went.
+                // The worker went down during the call.
                 (CallFailure::NothingThere, after) => (CallFailure::NoAnswer, after),
                 silent => silent,
             };
@@ -819,7 +823,8 @@
             .jobs
             .get(&task.job)
             .map(|(record, _)| record.spec.steps[task.key.step.step as usize].clone());
-        let step = step.unwrap_or_else(|| panic!("{task} is started and was never accepted"));
+        let step =
+            step.unwrap_or_else(|| panic!("{task} is started but its job was never accepted"));
         let result = match self.reachable(&id) {
             None => Err(self.failure_at(&id, Duration::ZERO).0),
             Some(worker) => {
@@ -1001,8 +1006,8 @@
         }
     }
 
-    /// No run of a job that has ended in the store goes on at a worker that can be reached, wherever it
-    /// was begun, and by whom.
+    /// Checks that no run of a job with a stored verdict continues at a reachable worker, whichever
+    /// leader started it.
     fn check_stopped(&mut self) {
         let leader_shards =
             self.store.shards.values().all(|shard| self.leaders.contains_key(&shard.epoch));
@@ -1019,12 +1024,17 @@
                 let active_time = self.now.saturating_duration_since(since);
                 let id = &worker.registration.id;
                 self.longest_stop = self.longest_stop.max(active_time);
-                assert!(active_time <= MAX_STOP_TIME, "{task} run {} goes on at {id}", run.run);
+                assert!(
+                    active_time <= MAX_STOP_TIME,
+                    "{task} run {} still goes on at {id}",
+                    run.run
+                );
             }
         }
     }
 
-    /// What the last leader of each shard tells callers of jobs that wait, and of those that do not any more.
+    /// Checks what the last leader of each shard reports about jobs that wait, and about those that
+    /// have started.
     fn check_waiting(&mut self) {
         for shard in self.store.shards.values() {
             let Some(leader) = self.leaders.get(&shard.epoch) else {
@@ -1043,16 +1053,17 @@
                     && instance.is_some_and(|instance| instance.claimed && instance.registered)
             };
             for worker in self.workers.values().filter(claimed) {
-                let calm = self.fault_free_since.max(worker.fault_free_since).max(first);
+                let fault_free = self.fault_free_since.max(worker.fault_free_since).max(first);
                 for (task, run) in &worker.runs {
-                    let calm = self.now.saturating_duration_since(calm.max(run.started_at));
-                    self.waiting_checker.check_running(leader, task, calm);
+                    let fault_free =
+                        self.now.saturating_duration_since(fault_free.max(run.started_at));
+                    self.waiting_checker.check_running(leader, task, fault_free);
                 }
             }
         }
     }
 
-    /// What must hold whenever a task begins.
+    /// Checks the conditions that must hold whenever a task starts.
     fn check_start(
         &mut self,
         id: &WorkerId,
@@ -1066,14 +1077,17 @@
         self.note_ends();
         let worker = &self.workers[id];
         let used = worker.used();
-        assert!(used.fits(&worker.max_capacity(sent)), "{id} holds {used:?} after {task}");
+        assert!(
+            used.fits(&worker.max_capacity(sent)),
+            "{id} exceeds its capacity with {used:?} in use after {task} has started"
+        );
         if let Some(limit) = step.max_per_worker {
             let same_step =
                 |other: &&TaskName| other.job == task.job && other.key.step == task.key.step;
             let count = worker.runs.keys().filter(same_step).count();
             assert!(
                 count <= limit as usize,
-                "{count} tasks beside {task} on {id}, at most {limit}"
+                "{count} tasks of the step of {task} run on {id}, at most {limit} may"
             );
         }
         let holders =
@@ -1083,7 +1097,7 @@
         let acknowledged = self.acknowledged_ends.get(task).cloned().unwrap_or_default();
         assert!(
             step.lasting || !acknowledged.contains(&EndKind::Done),
-            "{task} is begun again after its end was noted"
+            "{task} is started again after its end was acknowledged"
         );
         let failed = acknowledged.iter().filter(|kind| **kind == EndKind::Failed).count();
         let (record, progress) = &self.store.jobs[&task.job];
@@ -1097,7 +1111,7 @@
             self.crash_checker.check_start(task);
         }
         if let Some(ended) = self.verdict_times.get(&task.job).filter(|_| current) {
-            // The owner's notice to the other shards of a job is on its way.
+            // The owner's notice to the other shards of the job may still be in transit.
             let latency = if record.share.is_some() { NOTICE_DELAY } else { Duration::ZERO };
             assert!(
                 sent <= *ended + latency,
@@ -1111,12 +1125,12 @@
                 let key = TaskKey { step: StepKey { step: *dependency, ..task.key.step }, index };
                 self.done_tasks.contains(&TaskName::new(task.job.clone(), key))
             };
-            // The members of a gang end together: one end stands for all.
+            // The members of a gang end together, so the end of one is enough.
             let all_done = match earlier_step.gang {
                 true => (0..earlier_step.count).any(done),
                 false => (0..earlier_step.count).all(done),
             };
-            assert!(all_done, "{task} is begun before step {dependency} is done");
+            assert!(all_done, "{task} is started before step {dependency} is done");
         }
     }
 }
--- a/tests/graph/sim_cluster/messages.rs
+++ b/tests/graph/sim_cluster/messages.rs
@@ -1,4 +1,4 @@
-//! What is under way in the world, and what may become of it.
+//! Messages in transit in the simulated cluster, and the faults that may affect them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,14 +6,14 @@
 use kelplink::*;
 use tokio::time::Instant;
 
-/// Faults of messages, in thousandths.
+/// Probabilities of message faults, in thousandths.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct MessageFaults {
     /// Calls that do not arrive.
     pub(crate) lost: u32,
     /// Answers that do not arrive.
     pub(crate) unanswered: u32,
-    /// Orders that are carried out seconds later and not answered.
+    /// Commands that are carried out seconds later and not answered.
     pub(crate) late: u32,
 }
 
@@ -23,16 +23,16 @@
     }
 }
 
-/// What becomes of the next orders, whatever the faults of messages are.
+/// Faults of the next commands, independent of [`MessageFaults`].
 #[derive(Debug, Default)]
 pub(crate) struct PlannedFaults {
-    /// How late the next starts are carried out, unanswered; `None` for one that does not arrive.
+    /// Delays of the next starts, which are not answered; `None` for a start that does not arrive.
     pub(crate) starts: VecDeque<Option<Duration>>,
-    /// How many of the next stops do not arrive.
+    /// Number of upcoming stops that do not arrive.
     pub(crate) stops_to_lose: u32,
 }
 
-/// What is under way between leaders, workers and the store.
+/// A message in transit between leaders, workers and the store, or a scheduled event of a worker.
 #[derive(Clone, Debug)]
 pub(super) enum Message {
     Poll {
@@ -45,7 +45,7 @@
     CheckPoll {
         leader: LeaderEpoch,
         worker: WorkerId,
-        /// Life that took the poll.
+        /// Worker instance that received the poll.
         instance_start: InstanceStart,
         acked: u64,
         until: Instant,
@@ -100,30 +100,31 @@
         leader: LeaderEpoch,
         call: AdviceCall,
     },
-    /// A worker crashes under a task.
+    /// A task crashes its worker.
     Crash {
         worker: WorkerId,
         task: TaskName,
     },
-    /// The registration of a worker that is down has lapsed.
+    /// The registration of a worker that is down expires.
     RegistrationExpired {
         worker: WorkerId,
     },
-    /// A worker that has crashed is back under another id.
+    /// A crashed worker comes back under another id.
     Replacement {
         worker: WorkerId,
     },
-    /// A worker that has crashed is back under its id.
+    /// A crashed worker restarts under its id.
     Restart {
         worker: WorkerId,
     },
-    /// An order that a worker has taken and carries out late: it goes with the life that took it.
+    /// A command that an instance has received and carries out late; it is lost if that instance
+    /// ends.
     LateCommand {
         worker: WorkerId,
         instance_start: InstanceStart,
         command: Box<Message>,
     },
-    /// A worker says what it has.
+    /// A worker renews its registration.
     Heartbeat {
         worker: WorkerId,
     },
--- a/tests/graph/sim_cluster/store.rs
+++ b/tests/graph/sim_cluster/store.rs
@@ -1,35 +1,35 @@
-//! The store of the world, as its leaders find it.
+//! The store of the simulated cluster.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use kelplink::*;
 
-/// What the store has.
+/// Contents and faults of the store.
 #[derive(Debug, Default)]
 pub(crate) struct ModelStore {
     pub(crate) epoch: LeaderEpoch,
     pub(crate) up: bool,
-    /// Whether it says so while it is down.
+    /// Whether commits are refused, instead of left unanswered, while the store is down.
     pub(crate) refuses: bool,
-    /// How much longer than usual it takes for a group.
+    /// Additional time that the store takes for a commit group.
     pub(crate) commit_delay: Duration,
     pub(crate) jobs: BTreeMap<GraphId, (GraphRecord, GraphProgress)>,
     pub(crate) workers: Vec<UsedWorker>,
-    /// What each shard has beside that, where there are several.
+    /// Data of each shard, where there are several.
     pub(crate) shards: BTreeMap<ShardId, ModelShard>,
-    /// Whether the list of these workers cannot be read.
+    /// Whether the list of workers in use cannot be read.
     pub(crate) spoilt: bool,
     pub(crate) groups: u64,
 }
 
-/// What the store has of one shard.
+/// Data of one shard.
 #[derive(Debug, Default)]
 pub(crate) struct ModelShard {
     /// The leader that was elected last.
     pub(crate) epoch: LeaderEpoch,
     pub(super) workers: Vec<UsedWorker>,
-    /// Jobs of other shards that are run here in part.
+    /// Jobs of other shards of which this shard runs a share.
     pub(crate) parts: BTreeMap<GraphId, (GraphRecord, GraphProgress)>,
     pub(super) notices: BTreeMap<(NoticeKind, GraphId), Option<GraphRecord>>,
 }
--- a/tests/graph/sim_cluster/worker_faults.rs
+++ b/tests/graph/sim_cluster/worker_faults.rs
@@ -1,4 +1,4 @@
-//! Workers that crash and come back, and workers whose room changes.
+//! Workers that crash and restart, and workers whose capacity changes.
 
 use std::time::Duration;
 
@@ -9,23 +9,24 @@
 use crate::sim_cluster::messages::Message;
 use crate::sim_cluster::{SimCluster, TICK_INTERVAL, register};
 
-/// A worker says what it has this often at the latest.
+/// Longest interval between two heartbeats of a worker.
 const HEARTBEAT: Duration = Duration::from_millis(1_500);
-/// Silence after which a worker's registration is removed.
+/// Time without heartbeats after which a worker's registration is removed.
 const REGISTRATION_TTL: Duration = Duration::from_millis(4_500);
-/// Share of workers that keep their ids, and of those that crash again as they start, in thousandths.
+/// Share of crashed workers that keep their ids, in thousandths.
 const KEPT_ID_PERMILLE: u32 = 750;
+/// Share of restarting workers that crash again as they start, in thousandths.
 const SECOND_RESTART_PERMILLE: u32 = 150;
-/// Lives of workers that come back after a crash are numbered from here.
+/// First instance number of workers that come back under another id after a crash.
 const FIRST_REPLACEMENT: u32 = 1_000;
 
 impl SimCluster {
-    /// Has most workers that crash come back under their ids.
+    /// Lets most crashed workers restart under their ids.
     pub(crate) fn keep_ids(&mut self, seed: u64) {
         self.restart_rng = Some(StdRng::seed_from_u64(seed));
     }
 
-    /// A worker goes with all that runs there, and is back after a while.
+    /// Crashes a worker with all its runs; it comes back after [`SimCluster::crash_downtime`].
     pub(crate) fn crash(&mut self, id: &WorkerId) {
         let downtime = self.crash_downtime;
         if !self.go_down(id, downtime) {
@@ -39,15 +40,15 @@
         self.post(downtime, message);
     }
 
-    /// A worker goes, and is back under its id after a while.
+    /// Crashes a worker that restarts under its id after `downtime`.
     pub(crate) fn crash_and_restart(&mut self, id: &WorkerId, downtime: Duration) {
         if self.go_down(id, downtime) {
             self.post(downtime, Message::Restart { worker: id.clone() });
         }
     }
 
-    /// The life of a worker that has this number is replaced by another: at once under another id, or under its own after a
-    /// while.
+    /// Replaces the instance of the worker with this number: at once under another id, or under its
+    /// own id after a while.
     pub(crate) fn replace_worker(&mut self, number: u32, instance: u32) {
         let prefix = format!("w{number}-");
         let id = self.workers.keys().find(|id| id.starts_with(&prefix)).cloned();
@@ -60,7 +61,7 @@
         }
     }
 
-    /// A worker goes with all that runs there. Tells whether it was up.
+    /// Takes a worker down with all its runs. Returns whether it was up.
     fn go_down(&mut self, id: &WorkerId, downtime: Duration) -> bool {
         let Some(worker) = self.workers.get_mut(id).filter(|worker| worker.up) else {
             return false;
@@ -78,7 +79,7 @@
         true
     }
 
-    /// A worker is back under its id: it knows nothing, and all that it counts begins anew.
+    /// Restarts a worker under its id without any state: its clock and its end numbers begin anew.
     pub(super) fn restart(&mut self, id: &WorkerId) {
         let (now, instance_start) = (self.now, Some(self.unix()));
         let rate = self.restart_rng.as_mut().map_or(1_000, |rng| rng.random_range(980..=1_000));
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Draws a chance in thousandths where workers may keep their ids; without that it never comes.
+    /// Draws a chance in thousandths; always false unless [`SimCluster::keep_ids`] was called.
     fn draw_id_chance(&mut self, permille: u32) -> bool {
         self.restart_rng.as_mut().is_some_and(|rng| rng.random_range(0..1_000) < permille)
     }
@@ -112,7 +113,7 @@
         Duration::from_millis(millis)
     }
 
-    /// The other members of a gang end with one that is lost_task.
+    /// Ends the other members of a gang that has lost a member.
     fn end_gang(&mut self, lost_task: &TaskName, run: RunNumber) {
         let step = lost_task.key.step;
         let record = self.store.jobs.get(&lost_task.job);
@@ -130,7 +131,7 @@
     }
 
     pub(super) fn start_replacement(&mut self, id: &WorkerId) {
-        // Another life may have come in its place meanwhile.
+        // Another instance may have replaced the worker in the meantime.
         if !self.workers.contains_key(id) {
             return;
         }
@@ -140,7 +141,7 @@
         self.add_worker(number, FIRST_REPLACEMENT + self.replacements);
     }
 
-    /// A worker's room changes; it says so with its next heartbeat.
+    /// Changes a worker's capacity; the worker reports it with its next heartbeat.
     pub(crate) fn resize(&mut self, id: &WorkerId, capacity: ResourceVector) {
         let (now, delay) = (self.now, HEARTBEAT.mul_f64(self.rng.random()));
         if let Some(worker) = self.workers.get_mut(id) {
@@ -164,7 +165,7 @@
         }
     }
 
-    /// How a call to a worker that is not reached fails, and when.
+    /// How and after what time a call to an unreachable worker fails.
     pub(super) fn failure_at(&self, id: &WorkerId, silence: Duration) -> (CallFailure, Duration) {
         let down = self.workers.get(id).is_none_or(|worker| !worker.up);
         match down && self.refuses_when_down {
--- a/tests/graph/waiting_checker.rs
+++ b/tests/graph/waiting_checker.rs
@@ -1,4 +1,5 @@
-//! What callers are told of jobs that wait: as long as no worker has begun a task of a job, it is queued and counted.
+//! Checks what leaders report about jobs that wait: until a worker has started a task of a job, the
+//! job is queued and counted as pending.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,20 +7,20 @@
 use kelplink::{GraphController, GraphId, GraphJob, GraphState, LeaderEpoch, QueueId, TaskName};
 use tokio::time::Instant;
 
-/// Time from one look at a leader to the next.
+/// Interval between two checks of a leader.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a job may be shown as queued while its task runs where nothing is in the way: two polls of an idle worker,
-/// the first of which was lost.
+/// How long a job may be reported as queued while its task runs without faults: two polls of an
+/// idle worker, the first of which was lost.
 const MAX_QUEUED_TIME: Duration = Duration::from_millis(2_500);
 
-/// When a leader was looked at.
+/// When a leader was first checked and is to be checked next.
 #[derive(Clone, Copy, Debug)]
 struct LeaderCheck {
     first: Instant,
     next: Instant,
 }
 
-/// Keeps which jobs workers have begun, whoever sent the starts.
+/// Records which jobs workers have started, whichever leader sent the starts.
 #[derive(Debug, Default)]
 pub(crate) struct WaitingChecker {
     started_jobs: BTreeSet<GraphId>,
@@ -27,15 +28,15 @@
 }
 
 impl WaitingChecker {
-    /// A worker has begun a task, or has it.
+    /// Records that a worker has started a task or holds a run of it.
     pub(crate) fn note_started(&mut self, task: &TaskName) {
         if !self.started_jobs.contains(&task.job) {
             self.started_jobs.insert(task.job.clone());
         }
     }
 
-    /// Whether a leader, the last elected of its shard, is to be looked at: at once after its election, and every
-    /// 100 ms from then on. Tells since when it was.
+    /// Returns when a leader, the last one elected in its shard, was first checked, if a check is
+    /// due: right after its election and every 100 ms after that.
     pub(crate) fn check_due(&mut self, now: Instant, leader: LeaderEpoch) -> Option<Instant> {
         let check = self.checks.entry(leader).or_insert(LeaderCheck { first: now, next: now });
         let due = check.next <= now;
@@ -45,7 +46,8 @@
         due.then_some(check.first)
     }
 
-    /// No job that waits is shown as begun, and each is counted, whatever has failed.
+    /// Checks that no waiting job is reported as started, and that each is counted as pending,
+    /// whatever has failed.
     pub(crate) fn check_waiting(&self, leader: &GraphController) {
         let mut waiting: BTreeMap<QueueId, usize> = BTreeMap::new();
         for job in leader.jobs().iter().filter(|job| is_open(job)) {
@@ -57,7 +59,7 @@
             assert_eq!(
                 state,
                 GraphState::Queued,
-                "no worker has begun a task of {id}, and leader {} shows it so with {progress:?}",
+                "no worker has started a task of {id}, but leader {} reports it as started: {progress:?}",
                 leader.epoch()
             );
             *waiting.entry(job.spec.queue.clone()).or_default() += 1;
@@ -66,27 +68,33 @@
             let pending = leader.jobs().pending(&queue);
             assert!(
                 pending >= count,
-                "{count} jobs of {queue} wait, leader {} counts {pending}",
+                "{count} jobs of {queue} wait, but leader {} counts {pending}",
                 leader.epoch()
             );
         }
     }
 
-    /// A job with a task that runs at a worker that the leader has claimed is shown as begun, where nothing has been in
-    /// the way for `clear`. A count that is too high is no broken promise, but evidence that was lost shows so.
-    pub(crate) fn check_running(&self, leader: &GraphController, task: &TaskName, calm: Duration) {
+    /// Checks that a job with a task running at a claimed worker is reported as started after
+    /// `fault_free` without faults. The count of pending jobs may be too high; a job still reported as
+    /// queued shows that evidence of the start was lost.
+    pub(crate) fn check_running(
+        &self,
+        leader: &GraphController,
+        task: &TaskName,
+        fault_free: Duration,
+    ) {
         let Some(job) = leader.jobs().get(&task.job).filter(|job| is_open(job)) else {
             return;
         };
         assert!(
-            calm <= MAX_QUEUED_TIME || job.state() != GraphState::Queued,
-            "{task} runs, and leader {} shows its job as queued after {calm:?}",
+            fault_free <= MAX_QUEUED_TIME || job.state() != GraphState::Queued,
+            "{task} runs, but leader {} reports its job as queued after {fault_free:?}",
             leader.epoch()
         );
     }
 }
 
-/// Whether a job was accepted here and has not ended.
+/// Whether a job was accepted by this leader and has not ended.
 fn is_open(job: &GraphJob) -> bool {
     job.durable && !job.is_part() && !job.is_over()
 }
