--- a/tests/graph/advice.rs
+++ b/tests/graph/advice.rs
@@ -1,4 +1,4 @@
-//! What the leader learns from placement advice.
+//! The learned share of workers that placement advice allows.
 
 use std::time::Duration;
 
@@ -6,11 +6,11 @@
 use kelplink::{AdviceRequest, AdviceTable, EntryId, StepKey, WorkerId};
 use tokio::time::Instant;
 
-use crate::sim_cluster::rule;
+use crate::sim_cluster::queue_rule;
 
-/// Asks about workers and allows those whose number can be divided by three.
+/// Requests advice about workers, and allows those whose number is divisible by three.
 fn ask(advice_table: &mut AdviceTable, now: Instant, workers: &[WorkerId]) {
-    let queue = rule("asked", 1, true);
+    let queue = queue_rule("asked", 1, true);
     let request = AdviceRequest {
         key: ("a".into(), StepKey { occurrence: 0, step: 0 }),
         queue: queue.id.clone(),
@@ -23,9 +23,10 @@
     advice_table.answered(now, call.id, Some(allowed), Duration::ZERO);
 }
 
-// The share of workers that a queue's steps are allowed decides how many are named in a call. It was learned
-// from renewals as well, in which nearly all are allowed as they were before: with a third allowed it was
-// learned as nine tenths, and calls named a third of the workers that were needed.
+// The share of workers that a queue's steps are allowed decides how many workers a call names. It
+// was also learned from renewals, in which nearly all workers are allowed again: with a third
+// allowed, the learned share was nine tenths, and calls named a third of the workers that were
+// needed.
 #[gtest]
 fn the_share_of_allowed_workers_is_not_learned_from_renewals() {
     let now = Instant::now();
--- a/tests/graph/cancellation.rs
+++ b/tests/graph/cancellation.rs
@@ -1,4 +1,5 @@
-//! Runs of a cancelled job: begun late by an old order, by a leader that is gone, or both.
+//! Runs of a cancelled job that were started late by an old command, by a leader that is gone, or
+//! both.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,22 +13,22 @@
 use crate::model_worker::{ModelRun, ModelWorker};
 use crate::sim_cluster::{SimCluster, count_runs, seconds, step};
 
-/// Longest time that a run of a cancelled job goes on at an idle worker that can be reached: its poll
+/// Longest time that a run of a cancelled job continues at an idle, reachable worker: its poll
 /// waits 1.2 s, a stop takes 0.2 s.
 const STOP_TIME: Duration = Duration::from_millis(1_500);
-/// How late an order may be carried out so that it still holds: a start holds for 4.5 s.
+/// Delay after which a start may still be carried out: a start is valid for 4.5 s.
 const START_DELAY: Duration = Duration::from_millis(3_500);
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// The next start is carried out late; no other send of it arrives.
+/// Delays the next start; its retries do not arrive.
 fn delay_start(cluster: &mut SimCluster, delay: Duration) {
     cluster.planned_faults.starts = VecDeque::from([Some(delay), None, None, None]);
 }
 
-/// Cancels a job and lets the answer come.
+/// Cancels a job and waits for the answer.
 fn cancel(cluster: &mut SimCluster, job: &str) {
     let call = cluster.cancel(job);
     cluster.run(millis(100));
@@ -43,7 +44,7 @@
     cluster.workers.values_mut().next().unwrap()
 }
 
-/// Lets the only worker hold a run that no leader knows.
+/// Adds a run that no leader knows to the only worker.
 fn add_unknown_run(cluster: &mut SimCluster, task: &str, run: RunNumber) {
     let unknown_run = ModelRun {
         run,
@@ -86,7 +87,7 @@
 }
 
 #[gtest]
-fn a_late_start_of_a_leader_that_is_gone_is_stopped_by_its_successor() {
+fn a_late_start_of_a_lost_leader_is_stopped_by_its_successor() {
     let mut cluster = SimCluster::new(43, 1);
     cluster.run(seconds(1));
     delay_start(&mut cluster, millis(2_400));
@@ -104,7 +105,7 @@
 }
 
 #[gtest]
-fn a_late_start_of_a_leader_that_is_gone_is_refused_once_its_successor_was_heard() {
+fn a_late_start_of_a_lost_leader_is_refused_after_contact_with_its_successor() {
     let mut cluster = SimCluster::new(44, 2);
     cluster.run(seconds(1));
     delay_start(&mut cluster, START_DELAY);
@@ -119,10 +120,10 @@
     expect_that!(cluster.started_runs, eq(0));
 }
 
-// The successor hears the worker only after the order of the leader that is gone was carried out there, and the
-// first stops that it sends are lost as well.
+// The successor reaches the worker only after the start of the lost leader was carried out there,
+// and the first stops that it sends are lost as well.
 #[gtest]
-fn a_late_start_of_a_leader_that_is_gone_is_stopped_where_the_successor_was_cut_off() {
+fn a_late_start_of_a_lost_leader_is_stopped_after_its_successor_was_disconnected() {
     let mut cluster = SimCluster::new(45, 1);
     cluster.run(seconds(1));
     delay_start(&mut cluster, millis(2_400));
@@ -142,10 +143,10 @@
     expect_that!(cluster.state("a"), some(eq(GraphState::Cancelled)));
 }
 
-// An earlier leader goes on without knowing of its successor, which cannot look at the worker before the order
-// of the earlier one was carried out there.
+// An earlier leader continues without knowing of its successor, which cannot poll the worker before
+// the earlier leader's start was carried out there.
 #[gtest]
-fn a_late_start_of_a_leader_that_does_not_know_of_its_successor_is_stopped() {
+fn a_late_start_of_a_leader_unaware_of_its_successor_is_stopped() {
     let mut cluster = SimCluster::new(46, 1);
     cluster.run(seconds(1));
     delay_start(&mut cluster, millis(1_200));
@@ -163,7 +164,7 @@
 }
 
 #[gtest]
-fn a_cancel_repeated_at_the_next_leader_is_answered_and_still_stops_what_starts_late() {
+fn a_cancel_repeated_at_the_next_leader_is_answered_and_stops_late_starts() {
     let mut cluster = SimCluster::new(47, 1);
     cluster.run(seconds(1));
     delay_start(&mut cluster, millis(2_400));
@@ -182,7 +183,7 @@
 }
 
 #[gtest]
-fn a_cancel_that_its_leader_could_not_store_holds_from_its_repetition_on() {
+fn a_cancel_that_was_not_stored_takes_effect_when_repeated() {
     let mut cluster = SimCluster::new(48, 2);
     cluster.run(seconds(1));
     cluster.submit("later", "a", vec![step(4, 1, 60_000)]);
@@ -202,7 +203,7 @@
 }
 
 #[gtest]
-fn a_job_cancelled_before_it_was_stored_starts_nothing() {
+fn a_job_cancelled_before_it_was_stored_starts_no_task() {
     let mut cluster = SimCluster::new(49, 2);
     cluster.run(seconds(1));
     cluster.store.up = false;
@@ -279,7 +280,7 @@
 }
 
 #[gtest]
-fn occurrences_of_a_cancelled_job_are_stopped_and_no_more_begin() {
+fn occurrences_of_a_cancelled_job_are_stopped_and_no_more_start() {
     let mut cluster = SimCluster::new(53, 3);
     cluster.run(seconds(1));
     let repeat =
@@ -299,9 +300,9 @@
     expect_that!(cluster.started_runs, eq(started_runs));
 }
 
-// The stop of a cancelled job's task was not answered. The task went on working, and each list of its worker
-// showed more of its work done; where lists come often, because other tasks end there, the pause before the stop
-// is sent again began anew with each of them, and the stop was never sent again.
+// The stop of a cancelled job's task was not answered. The task continued, and each report of its
+// worker showed more progress. Where reports come often, because other tasks end there, each of
+// them restarted the delay before the stop is sent again, so it was never sent again.
 #[gtest]
 fn a_lost_stop_is_sent_again_while_its_run_makes_progress() {
     let mut cluster = SimCluster::new(54, 1);
@@ -317,10 +318,10 @@
     expect_that!(count_runs(&cluster, "a"), eq(0));
 }
 
-// A worker held a run of a job that its leader did not know any more. The run was stopped, but what runs unknown
-// takes room that is not known, so the worker was given no work, and that stayed so for the leader's whole time.
+// A worker held a run of a job that its leader no longer knew. The run was stopped, but unknown
+// runs take unknown capacity, so the worker was given no tasks until the leader was replaced.
 #[gtest]
-fn a_worker_that_held_a_run_of_a_forgotten_job_is_given_work_once_that_is_stopped() {
+fn a_worker_with_a_run_of_a_forgotten_job_gets_tasks_once_that_is_stopped() {
     let mut cluster = SimCluster::new(55, 1);
     cluster.run(seconds(1));
     add_unknown_run(&mut cluster, "forgotten.0.0.0", 1);
@@ -331,8 +332,8 @@
     expect_that!(cluster.state("b"), some(eq(GraphState::Completed)));
 }
 
-/// A worker whose only task was begun after it came back under another name, and the registration that it left
-/// under the earlier one.
+/// A worker that came back under another id before its only task was started, and the registration
+/// left under the earlier id.
 fn replaced_worker(seed: u64) -> (SimCluster, WorkerRegistration) {
     let mut cluster = SimCluster::new(seed, 1);
     cluster.run(seconds(1));
@@ -347,11 +348,12 @@
     (cluster, stale)
 }
 
-// The registrations were read again after an outage of the store, in which that of a worker's earlier life had
-// not expired. Taken for a newcomer, it ended the life that had taken its place: that worker was looked at no
-// more, what ran there counted as lost and was started elsewhere as well, and was not stopped on cancellation.
+// The registrations were read again after an outage of the store, in which that of a worker's
+// earlier instance had not expired. It was treated as new and ended the instance that had replaced
+// it: that worker was no longer polled, its runs counted as lost and were started elsewhere as
+// well, and they were not stopped on cancellation.
 #[gtest]
-fn a_registration_that_a_worker_left_behind_does_not_end_its_present_life() {
+fn a_stale_registration_does_not_end_a_workers_present_instance() {
     let (mut cluster, stale) = replaced_worker(56);
     let now = cluster.now;
     cluster.leader().unwrap().worker_registered(now, stale);
@@ -362,14 +364,15 @@
     expect_that!(count_runs(&cluster, "a"), eq(0));
 }
 
-// A new leader read both registrations, the one left behind first, before it had heard the worker. It gave up
-// waiting for the worker that the store names as one in use, and started its task elsewhere as well.
+// A new leader read both registrations, the stale one first, before it had contact with the worker.
+// It stopped waiting for the worker, which the store lists as in use, and started its task
+// elsewhere as well.
 #[gtest]
-fn a_registration_left_behind_does_not_hide_from_a_new_leader_what_runs_there() {
+fn a_stale_registration_does_not_hide_runs_from_a_new_leader() {
     let (mut cluster, stale) = replaced_worker(57);
     let id: WorkerId = "w0-1".into();
     remove_leader(&mut cluster);
-    // Its registration has not been read yet at the election.
+    // The worker is down during the election, so that its registration has not been read yet.
     cluster.workers.get_mut(&id).unwrap().up = false;
     cluster.elect();
     cluster.workers.get_mut(&id).unwrap().up = true;
@@ -386,11 +389,12 @@
     expect_that!(count_runs(&cluster, "a"), eq(0));
 }
 
-// A worker was leaving and its announced time was over. It was cut off, from the store as well, so that its
-// registration went, and no connection to it could be made. That was taken for its end: what ran there was started
-// elsewhere while it went on, and was not stopped on cancellation.
+// A worker was leaving and its announced time was over. It was disconnected, from the store as
+// well, so that its registration expired, and no connection to it could be made. That was treated
+// as its end: its tasks were started elsewhere while they still ran, and were not stopped on
+// cancellation.
 #[gtest]
-fn a_leaving_worker_that_cannot_be_reached_may_still_run_what_it_has() {
+fn a_leaving_worker_that_is_unreachable_may_still_run_its_tasks() {
     let mut cluster = SimCluster::new(58, 1);
     cluster.run(seconds(1));
     cluster.submit("later", "a", vec![step(1, 1, 60_000)]);
@@ -411,7 +415,7 @@
 }
 
 #[gtest]
-fn a_leaving_worker_at_whose_address_nothing_listens_has_left() {
+fn a_leaving_worker_with_a_closed_port_has_left() {
     let mut cluster = SimCluster::new(59, 1);
     cluster.run(seconds(1));
     cluster.submit("later", "a", vec![step(1, 1, 60_000)]);
--- a/tests/graph/capacity_changes.rs
+++ b/tests/graph/capacity_changes.rs
@@ -1,4 +1,4 @@
-//! Workers whose room shrinks and grows again while they run.
+//! Workers whose capacity shrinks and grows again while they run.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
     cluster.workers.keys().cloned().collect()
 }
 
-// The checker of the world stops a run whose start brings a worker over its room; here the room of half of the workers
-// falls to a quarter while they are full, and is whole again later.
+// The simulated cluster fails the test if a start exceeds a worker's capacity. Here the capacity of
+// half of the workers falls to a quarter while they are full, and is restored later.
 #[gtest]
-fn nothing_is_started_over_a_room_that_has_shrunk() {
+fn no_start_exceeds_a_reduced_capacity() {
     let mut cluster = SimCluster::new(51, 8);
     cluster.run(seconds(1));
     for job in 0..30 {
@@ -34,10 +34,11 @@
     }
 }
 
-// A worker that holds more than its shrunken room has to lose all that is over before an urgent task fits. With the
-// missing room reckoned as none, one run was stopped for each urgent task, and the task still did not fit.
+// A worker that holds more than its reduced capacity has to lose the whole excess before an urgent
+// task fits. With the negative free capacity counted as zero, one run was stopped for each urgent
+// task, and the task still did not fit.
 #[gtest]
-fn room_for_an_urgent_task_on_a_shrunken_worker_is_made_whole_or_not_at_all() {
+fn preemption_on_a_shrunken_worker_frees_enough_for_the_urgent_task_or_nothing() {
     let mut cluster = SimCluster::new(52, 1);
     cluster.run(seconds(1));
     for job in 0..4 {
@@ -61,9 +62,10 @@
     expect_that!(cluster.state("urgent"), some(eq(GraphState::Completed)));
 }
 
-// A lasting task on a worker whose room has shrunk stays where it is: a stop would be an absence of our making.
+// A lasting task stays on a worker whose capacity has shrunk: stopping it would itself cause an
+// interruption.
 #[gtest]
-fn lasting_tasks_stay_on_a_worker_whose_room_has_shrunk() {
+fn lasting_tasks_stay_on_a_worker_whose_capacity_has_shrunk() {
     let mut cluster = SimCluster::new(53, 2);
     cluster.run(seconds(1));
     let lasting = StepSpec { lasting: true, ..step(4, 2, 600_000) };
--- a/tests/graph/cases.rs
+++ b/tests/graph/cases.rs
@@ -433,9 +433,9 @@
 // workers for it, and the job had to use a second domain.
 #[gtest]
 fn the_home_of_an_urgent_job_has_workers_for_its_widest_step() {
-    let one_a_worker = StepSpec { max_per_worker: Some(1), ..step(3, 1, 900) };
+    let one_per_worker = StepSpec { max_per_worker: Some(1), ..step(3, 1, 900) };
     let labelled = StepSpec { label: Some("special".into()), ..step(3, 1, 900) };
-    for widest in [one_a_worker, labelled] {
+    for widest in [one_per_worker, labelled] {
         let mut cluster = SimCluster::with_domains(24, 6, 2);
         // Two large workers in one domain, three small ones with the label in the other.
         cluster.workers.remove("w0-0");
--- a/tests/graph/combined_faults.rs
+++ b/tests/graph/combined_faults.rs
@@ -1,4 +1,4 @@
-//! What days with two or three troubles at a time have shown.
+//! Cases found in long runs with two or three faults at a time.
 
 use std::time::Duration;
 
@@ -8,11 +8,12 @@
 use crate::model_worker::ModelWorker;
 use crate::sim_cluster::{SimCluster, seconds, step};
 
-// A worker crashed behind a cut and started again; a heartbeat that its earlier life had sent reached the store
-// after the registration of the new one. The leader took the new life for replaced, its runs for lost, and
-// started them elsewhere in the same pass, half a millisecond before the earlier life's poll was refused.
+// A disconnected worker crashed and started again, and a heartbeat of its earlier instance reached
+// the store after the registration of the new one. The leader treated the new instance as replaced
+// and its runs as lost, and started them elsewhere in the same pass, half a millisecond before the
+// earlier instance's poll was refused.
 #[gtest]
-fn a_late_registration_of_an_earlier_life_ends_no_run_of_the_newer() {
+fn a_late_registration_of_an_earlier_instance_ends_no_run_of_the_newer() {
     let mut cluster = SimCluster::new(41, 1);
     cluster.run(seconds(1));
     let earlier = cluster.workers["w0-0"].registration.clone();
@@ -30,9 +31,10 @@
     expect_that!(cluster.started_runs, eq(2));
 }
 
-// A registration that is newer still ends an earlier life at once: its worker is asked and says so.
+// A newer registration still ends an earlier instance at once: the worker is polled, and its answer
+// shows that the instance is gone.
 #[gtest]
-fn work_of_an_earlier_life_goes_on_as_soon_as_the_next_has_registered() {
+fn runs_of_an_earlier_instance_restart_once_the_next_has_registered() {
     let mut cluster = SimCluster::new(42, 1);
     cluster.run(seconds(1));
     cluster.submit("later", "a", vec![step(2, 2, 1_500)]);
@@ -42,10 +44,11 @@
     expect_that!(cluster.workers["w0-1"].runs.len(), eq(2));
 }
 
-// In an outage of the store a caller was told that a job had succeeded; then the worker that listed its end was
-// lost, and the leader, before the store was back. The next leader knew of no end and ran the task again.
+// In an outage of the store a job was reported as completed; then the worker that has_ends its end and
+// the leader were lost before the store was back. The next leader knew of no end and ran the task
+// again.
 #[gtest]
-fn a_job_that_was_shown_as_completed_is_not_run_again() {
+fn a_job_that_was_reported_as_completed_is_not_run_again() {
     let mut cluster = SimCluster::new(43, 2);
     cluster.run(seconds(1));
     cluster.submit("now", "a", vec![step(1, 1, 500)]);
@@ -53,8 +56,8 @@
     cluster.store.up = false;
     cluster.run(seconds(1));
     let shown = cluster.state("a");
-    let held = |worker: &&mut ModelWorker| !worker.ends.is_empty();
-    cluster.workers.values_mut().filter(held).for_each(|worker| worker.up = false);
+    let has_ends = |worker: &&mut ModelWorker| !worker.ends.is_empty();
+    cluster.workers.values_mut().filter(has_ends).for_each(|worker| worker.up = false);
     let epoch = cluster.store.epoch;
     cluster.leaders.remove(&epoch);
     cluster.run(seconds(2));
@@ -62,6 +65,6 @@
     cluster.elect();
     cluster.run(seconds(16));
     expect_that!(cluster.state("a"), some(eq(GraphState::Completed)));
-    let again = cluster.started_runs > 1;
-    expect_that!((shown, again), not(eq((Some(GraphState::Completed), true))));
+    let ran_again = cluster.started_runs > 1;
+    expect_that!((shown, ran_again), not(eq((Some(GraphState::Completed), true))));
 }
--- a/tests/graph/commit_order.rs
+++ b/tests/graph/commit_order.rs
@@ -1,4 +1,4 @@
-//! What is stored first where the store takes less than there is to store.
+//! The order of commits while the store takes less than there is to store.
 
 use std::time::Duration;
 
@@ -7,7 +7,8 @@
 
 use crate::sim_cluster::{SimCluster, step};
 
-/// Jobs of six tasks that end one after another, forty a second while a group takes 240 ms, for four seconds.
+/// Submits forty jobs a second for four seconds, while a commit group takes 240 ms; the six tasks
+/// of each job end one after another.
 fn submit_load(cluster: &mut SimCluster) {
     for number in 0..160 {
         let tasks = (1..=6).map(|task| step(1, 1, 120 * task)).collect();
@@ -23,9 +24,10 @@
     cluster
 }
 
-// A group holds 28 changes, taken in the order of the jobs' names, and each end of a task is a change of its job.
-// Under more ends than a slow store takes, jobs with late names waited for as long as the load lasted, also to be
-// shown as completed. Verdicts go first now, then what has waited longest.
+// A commit group holds 28 changes. They were taken in the order of the jobs' names, and each end of
+// a task is a change of its job. With more ends than a slow store takes, jobs with late names
+// waited for as long as the load lasted, also to be reported as completed. Now verdicts go first,
+// then the changes that have waited longest.
 #[gtest]
 fn a_verdict_does_not_wait_for_progress_of_other_jobs() {
     let mut cluster = slow_store_cluster();
@@ -39,8 +41,8 @@
     expect_that!(cluster.state("late"), some(eq(GraphState::Completed)));
 }
 
-// New jobs took all room of each group while more came than a slow store takes: of 75 jobs of 100 ms in three
-// seconds none was shown as completed before they were over.
+// New jobs filled each commit group while more of them came than a slow store takes: of 75 jobs of
+// 100 ms in three seconds none was reported as completed before the load ended.
 #[gtest]
 fn verdicts_are_stored_beside_new_jobs() {
     let mut cluster = SimCluster::sharded(62, 60, 2);
--- a/tests/graph/crashes.rs
+++ b/tests/graph/crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash every worker that starts them, and tasks beside them that do not.
+//! Tasks that crash every worker that starts them, and other tasks on the same workers.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 use crate::sim_cluster::{SimCluster, count_runs, seconds, step};
 
-/// How long after its start a task crashes its worker, as in the logs of a deployment.
+/// Delay between the start of a task and the crash of its worker, as in the logs of a deployment.
 const CRASH_AFTER: Duration = Duration::from_millis(10);
 
-/// Workers whose ports are closed while they are down.
+/// A cluster whose workers refuse connections while they are down.
 fn start_cluster(seed: u64, workers: u32) -> SimCluster {
     let mut cluster = SimCluster::new(seed, workers);
     cluster.refuses_when_down = true;
@@ -18,18 +18,19 @@
     cluster
 }
 
-/// Submits a job whose first task crashes its workers, among `count` tasks.
+/// Submits a job whose first task crashes its workers.
 fn submit_crashing(cluster: &mut SimCluster, queue: &str, job: &str, steps: Vec<StepSpec>) {
     cluster.crashing_tasks.insert(format!("{job}.0.0.0").parse().unwrap(), CRASH_AFTER);
     cluster.submit(queue, job, steps);
 }
 
-// Tasks that crashed every worker that started them were started again every three seconds until the day was over: the
-// run number of one went to 131082, under three leaders, and monitoring counted 292 workers that stopped answering.
-// Only ends that a worker lists counted against a task, and a worker that has crashed lists none; the log of each round
-// says "worker is gone" with the end Replaced, "run lost" with heard_ms 2 and "start sent" 35 ms later.
+// Tasks that crashed every worker that started them were started again every three seconds until
+// the end of a long run: the run number of one reached 131082, under three leaders, and monitoring
+// counted 292 workers that stopped answering. Only ends that a worker reports counted against a
+// task, and a crashed worker reports none. The log of each round says "worker is gone" with the end
+// Replaced, "run lost" with heard_ms 2, and "start sent" 35 ms later.
 #[gtest]
-fn a_task_that_crashes_its_workers_is_given_up_and_its_job_shown_as_failed() {
+fn a_task_that_crashes_its_workers_is_given_up_and_its_job_fails() {
     let mut cluster = start_cluster(41, 8);
     submit_crashing(&mut cluster, "now", "bad", vec![step(4, 1, 800)]);
     cluster.run(seconds(30));
@@ -37,8 +38,9 @@
     expect_that!(cluster.crash_checker.crashes(&"bad.0.0.0".parse().unwrap()), le(3));
 }
 
-// The same where the worker says nothing while it is down and is back after its lease: the run is given up first, and
-// only the next life at the address shows that the one before had crashed.
+// The same where the worker does not answer while it is down and is back after its lease: the run
+// is given up first, and only the next instance at the address proves that the previous one had
+// crashed.
 #[gtest]
 fn crashes_of_workers_that_come_back_after_their_leases_count() {
     let mut cluster = start_cluster(42, 8);
@@ -49,9 +51,10 @@
     expect_that!(cluster.state("bad"), some(eq(GraphState::Failed)));
 }
 
-// A count in a leader's memory begins anew with each leader: under three of them a task was started without end.
+// A count kept in a leader's memory is reset with each leader: under three of them a task was
+// started without end.
 #[gtest]
-fn crashes_count_on_under_the_next_leader() {
+fn crash_counts_continue_under_the_next_leader() {
     let mut cluster = start_cluster(43, 12);
     submit_crashing(&mut cluster, "now", "bad", vec![step(4, 1, 800)]);
     for _ in 0..8 {
@@ -75,9 +78,10 @@
     expect_that!(count_runs(&cluster, "bad"), eq(0));
 }
 
-// All members of a gang start under one number: each of them may be the one that crashes its worker.
+// All members of a gang start under one run number: any of them may be the one that crashes its
+// worker.
 #[gtest]
-fn a_gang_a_member_of_which_crashes_its_workers_is_given_up() {
+fn a_gang_with_a_member_that_crashes_its_workers_is_given_up() {
     let mut cluster = start_cluster(45, 8);
     let gang = StepSpec { gang: true, max_per_worker: Some(1), ..step(5, 2, 20_000) };
     submit_crashing(&mut cluster, "now", "bad", vec![gang]);
@@ -85,8 +89,9 @@
     expect_that!(cluster.state("bad"), some(eq(GraphState::Failed)));
 }
 
-// Tasks that run or start beside those that crash their workers are lost with them, up to seven runs of six jobs at a
-// time in the logs. Counted against all of them, the crashes would end sound jobs.
+// Tasks that run or start on the same workers as tasks that crash them are lost as well, up to
+// seven runs of six jobs at a time in the logs. Counted against all of them, the crashes would fail
+// healthy jobs.
 #[gtest]
 fn jobs_beside_tasks_that_crash_their_workers_complete() {
     let mut cluster = start_cluster(46, 6);
@@ -110,8 +115,8 @@
     }
 }
 
-// Workers of three racks go at once, as with a switch, and again when their tasks have begun elsewhere: such crashes
-// say nothing of the tasks.
+// Workers of three racks are lost at once, as with a switch failure, and again when their tasks
+// have started elsewhere: such crashes are no evidence against the tasks.
 #[gtest]
 fn jobs_whose_workers_crash_for_other_reasons_complete() {
     let mut cluster = start_cluster(47, 20);
@@ -136,7 +141,8 @@
     }
 }
 
-// Two starts never arrived, at workers that went for other reasons; the first crash under a run that had begun ended the job.
+// Two starts never arrived, at workers that were lost for other reasons; the first crash under a
+// started run failed the job.
 #[gtest]
 fn a_task_is_not_given_up_for_starts_that_never_arrived() {
     let mut cluster = start_cluster(48, 6);
@@ -164,10 +170,11 @@
     expect_that!(cluster.state("a"), some(eq(GraphState::Running)));
 }
 
-// A start of a task that had crashed a worker went out together with its note. Leaders that were lost before the store had
-// that left none, and the task crashed a worker under each.
+// The start of a task that had crashed a worker was sent together with its suspect-run record.
+// Leaders that were lost before the store had the record left none, and the task crashed a worker
+// under each.
 #[gtest]
-fn a_suspected_task_is_started_once_the_store_has_its_start_announced() {
+fn a_suspected_task_is_started_once_its_announcement_is_stored() {
     let mut cluster = start_cluster(49, 8);
     cluster.crash_downtime = Duration::from_millis(300);
     submit_crashing(&mut cluster, "now", "bad", vec![step(1, 1, 800)]);
@@ -184,9 +191,9 @@
     expect_that!(cluster.state("bad"), some(eq(GraphState::Failed)));
 }
 
-// The same of a gang: none of its members is started before the store has that of all.
+// The same for a gang: no member is started before the announcements of all members are stored.
 #[gtest]
-fn a_suspected_gang_is_started_whole_once_the_store_has_its_starts_announced() {
+fn a_suspected_gang_is_started_once_all_its_announcements_are_stored() {
     let mut cluster = start_cluster(52, 8);
     cluster.crash_downtime = Duration::from_millis(300);
     let gang = StepSpec { gang: true, max_per_worker: Some(1), ..step(3, 2, 20_000) };
@@ -205,9 +212,10 @@
     expect_that!(cluster.started_runs, ge(started + 1));
 }
 
-// The leader that has announced a start is lost, and nothing was sent: the next one does not count a crash for it.
+// A leader is lost after it has announced a start and before it has sent it: the next leader does
+// not count a crash for it.
 #[gtest]
-fn a_start_that_was_announced_and_never_sent_is_no_crash() {
+fn a_start_that_was_announced_but_never_sent_is_not_a_crash() {
     let mut cluster = start_cluster(53, 1);
     cluster.crash_downtime = Duration::from_millis(300);
     submit_crashing(&mut cluster, "now", "bad", vec![step(1, 1, 800)]);
@@ -229,10 +237,11 @@
     expect_that!(cluster.crash_checker.crashes(&task), eq(2));
 }
 
-// Three sends of a start were not answered, and the run was listed for the first time more than a second after the first of
-// them: that was read as a worker that has outlived its start, and its earlier crashes were forgotten.
+// Three sends of a start were not answered, and the run was first reported more than a second after
+// the first of them. That was read as a worker that has survived the start, and its earlier crashes
+// were forgotten.
 #[gtest]
-fn a_start_that_was_carried_out_late_is_not_outlived_when_it_is_first_listed() {
+fn a_late_start_is_not_survived_when_it_is_first_reported() {
     let mut cluster = start_cluster(50, 8);
     submit_crashing(&mut cluster, "now", "bad", vec![step(1, 1, 60_000)]);
     let task = "bad.0.0.0".parse().unwrap();
@@ -250,10 +259,11 @@
     expect_that!(cluster.crash_checker.crashes(&task), eq(2));
 }
 
-// A worker was cut off from a run until its lease was over, and only then replaced; the next leader, which reckons with the
-// longest lease that the one before may have given, took the run for one that had surely gone on until the crash.
+// A worker was disconnected until its lease was over, and only then replaced. The next leader,
+// which assumes the longest lease that its predecessor may have granted, counted the run as one
+// that was certainly running at the crash.
 #[gtest]
-fn a_run_whose_lease_may_have_ended_did_not_surely_go_on_until_its_worker_crashed() {
+fn a_crash_after_a_possible_lease_expiry_is_not_proven() {
     let mut cluster = start_cluster(51, 2);
     cluster.submit("now", "a", vec![step(4, 1, 60_000)]);
     cluster.run(Duration::from_millis(300));
@@ -268,7 +278,7 @@
     }
     cluster.workers.get_mut(&holder).unwrap().connected = false;
     cluster.run(Duration::from_millis(2_500));
-    expect_true!(cluster.workers[&holder].runs.is_empty(), "its lease goes on");
+    expect_true!(cluster.workers[&holder].runs.is_empty(), "the lease has not expired");
     let number = holder[1..2].parse().unwrap();
     cluster.add_worker(number, 1);
     cluster.run(seconds(1));
@@ -279,10 +289,10 @@
     );
 }
 
-// A worker was cut off from a run, which ended unheard, and only then replaced: the run was taken for one under which the
-// worker had crashed.
+// A worker was disconnected, its run ended without being reported, and only then was the worker
+// replaced: the run was counted as one under which the worker had crashed.
 #[gtest]
-fn a_run_that_may_have_ended_unheard_did_not_surely_go_on_until_its_worker_crashed() {
+fn a_crash_after_a_possible_end_of_the_run_is_not_proven() {
     let mut cluster = start_cluster(54, 2);
     cluster.submit("now", "a", vec![step(4, 1, 300)]);
     cluster.run(Duration::from_millis(200));
@@ -290,7 +300,7 @@
     let holder = holder.unwrap();
     cluster.workers.get_mut(&holder).unwrap().connected = false;
     cluster.run(seconds(1));
-    expect_true!(cluster.workers[&holder].runs.is_empty(), "its runs go on");
+    expect_true!(cluster.workers[&holder].runs.is_empty(), "the run has not ended");
     let number = holder[1..2].parse().unwrap();
     cluster.add_worker(number, 1);
     while cluster.leader().unwrap().instances().get(&holder).is_some() {
--- a/tests/graph/links.rs
+++ b/tests/graph/links.rs
@@ -1,4 +1,4 @@
-//! Links that lose or delay for seconds what a leader and its workers say to each other.
+//! Links that lose messages between a leader and its workers, or delay them for seconds.
 
 use std::time::Duration;
 
@@ -18,11 +18,12 @@
     cluster.workers.get_mut(worker).unwrap().connected = connected;
 }
 
-// Over a full link the answers of a sound worker came 11 s late. Its runs had ended meanwhile; they were given
-// up with its lease and begun again elsewhere, and then their ends were acknowledged: run twice. A lease that
-// ends while nothing runs leaves no trace on the worker, so such an end must never be acknowledged.
+// On a congested link the answers of a healthy worker came 11 s late. Its runs had ended in the
+// meantime; they were given up with its lease and started again elsewhere, and then their ends were
+// acknowledged: the tasks ran twice. A lease that expires while nothing runs leaves no record on
+// the worker, so such an end must never be acknowledged.
 #[gtest]
-fn an_end_that_is_heard_after_its_task_was_begun_again_is_never_acknowledged() {
+fn an_end_received_after_its_task_was_started_again_is_never_acknowledged() {
     let mut cluster = SimCluster::new(51, 2);
     cluster.strict_acks = true;
     cluster.run(seconds(1));
@@ -35,7 +36,7 @@
     set_connected(&mut cluster, &silent, true);
     cluster.run(seconds(5));
     expect_that!(cluster.state("a"), some(eq(GraphState::Completed)));
-    // The worker comes last for more work, whose ends could not be acknowledged either.
+    // The worker is the last choice for further tasks, as their ends could not be acknowledged either.
     cluster.submit("now", "b", vec![step(1, 6, 400)]);
     cluster.run(Duration::from_millis(200));
     expect_that!(worker_of(&cluster, "b"), not(eq(&silent)));
@@ -43,10 +44,11 @@
     expect_that!(cluster.state("b"), some(eq(GraphState::Completed)));
 }
 
-// The same where the leader that began the task again is lost before the first worker is heard: its successor
-// finds the end of the first run on the list and no trace of the second.
+// The same where the leader that started the task again is lost before the first worker is back in
+// contact: its successor finds the end of the first run in the worker's report, and no record of
+// the second.
 #[gtest]
-fn a_successor_acknowledges_no_end_whose_task_was_begun_again() {
+fn a_successor_acknowledges_no_end_whose_task_was_started_again() {
     let mut cluster = SimCluster::new(52, 2);
     cluster.strict_acks = true;
     cluster.run(seconds(1));
@@ -65,9 +67,9 @@
     expect_that!(cluster.state("a"), some(eq(GraphState::Completed)));
 }
 
-// A link that is full: each answer takes 400 ms. A wait of 150 ms gave all of them up for good.
+// On a congested link each answer takes 400 ms. A timeout of 150 ms gave up all of them.
 #[gtest]
-fn the_wait_for_an_answer_follows_a_link_that_is_slow() {
+fn the_answer_timeout_adapts_to_a_slow_link() {
     let (mut times, mut now) = (AnswerTime::default(), Instant::now());
     for _ in 0..200 {
         times.answered(Duration::from_millis(3));
@@ -87,22 +89,23 @@
     }
     expect_that!(given_up, le(4));
     expect_that!(times.wait(), le(Duration::from_millis(1_500)));
-    // Many that were sent together say no more than one.
+    // Many unanswered calls that were sent together count as one.
     let before = times.wait();
     for _ in 0..50 {
         times.unanswered(now);
     }
     expect_that!(times.wait(), le(before * 2));
-    // It is quick again once the link is.
+    // The timeout falls again once the link is fast.
     for _ in 0..60 {
         times.answered(Duration::from_millis(3));
     }
     expect_that!(times.wait(), le(Duration::from_millis(200)));
 }
 
-// A link that carries 100 starts a second: what is sent beyond that waits in it, before renewals and stops.
+// A link carries 100 starts a second: what is sent beyond that queues up in it, ahead of renewals
+// and stops.
 #[gtest]
-fn the_window_follows_what_a_link_carries() {
+fn the_send_window_adapts_to_the_capacity_of_a_link() {
     let (mut window, mut now) = (SendWindow::default(), Instant::now());
     for _ in 0..2_000 {
         let queue = Duration::from_millis(10) * u32::try_from(window.limit()).unwrap();
@@ -110,7 +113,7 @@
         window.answered(now, queue);
     }
     expect_that!(window.limit(), all![ge(8), le(32)]);
-    // Five thousand answers in time open it for the widest steps.
+    // Five thousand timely answers open the window for the widest steps.
     for _ in 0..5_000 {
         now += Duration::from_millis(3);
         window.answered(now, Duration::from_millis(4));
@@ -122,10 +125,10 @@
     expect_that!(window.limit(), eq(reduced));
 }
 
-// A leader that begins what was never heard of again stores from which run on a task counts. Its successor took
-// that for a task that had been started: of eight jobs that waited two were counted.
+// A leader that starts a task again after losing contact with its run stores the first run that
+// counts. Its successor took that for a started task: of eight waiting jobs two were counted.
 #[gtest]
-fn a_job_that_waits_is_counted_after_two_takeovers() {
+fn a_waiting_job_is_counted_after_two_takeovers() {
     let mut cluster = SimCluster::new(53, 1);
     cluster.run(seconds(1));
     cluster.submit("later", "a", vec![step(1, 8, 60_000)]);
@@ -146,13 +149,13 @@
     expect_that!(pending, some(ge(1)));
 }
 
-// Workers leave one order in seventeen unanswered, polls among them. A lost poll was noticed after 0.75 s, and quick jobs
-// with an end under it were late: 94 of 201 in a burst.
+// Workers leave one call in seventeen unanswered, polls among them. A lost poll was noticed after
+// 0.75 s, and short jobs that ended under one were late: 94 of 201 in a burst.
 #[gtest]
-fn an_end_is_seen_within_half_a_second_where_polls_are_lost_often() {
+fn an_end_is_received_within_half_a_second_when_polls_are_often_lost() {
     let mut cluster = SimCluster::new(18, 4);
     cluster.run(seconds(1));
-    // One on each worker, so that all are looked at often.
+    // One run on each worker, so that all are polled often.
     cluster.submit("later", "long", vec![step(4, 5, 60_000)]);
     cluster.run(Duration::from_millis(500));
     cluster.polls_to_lose = 4;
--- a/tests/graph/registrations.rs
+++ b/tests/graph/registrations.rs
@@ -1,4 +1,4 @@
-//! Values in the store that another writer has left: they take no worker away and name none.
+//! Stored registrations written by others: they neither remove a worker nor create one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use kelplink::{GraphState, WorkerId, WorkerRegistration};
 
-use crate::sim_cluster::{SimCluster, rule, seconds, step};
+use crate::sim_cluster::{SimCluster, queue_rule, seconds, step};
 
 fn registration_of(cluster: &SimCluster, worker: &str) -> WorkerRegistration {
     cluster.workers[worker].registration.clone()
@@ -17,11 +17,12 @@
     cluster.leader().unwrap().worker_registered(now, registration);
 }
 
-/// An entry under another id at a worker's address ended that worker's life at once: its tasks were
-/// started elsewhere while they still ran there. It may be the entry of an earlier life that is read
-/// anew, or another writer's. Only the answer from the address tells which life is there.
+/// A registration under another id at a worker's address ended that worker's instance at once: its
+/// tasks were started elsewhere while they still ran there. Such a registration may be that of an
+/// earlier instance read again, or one written by another program. Only the answer from the address
+/// shows which instance is there.
 #[gtest]
-fn another_entry_at_its_address_does_not_end_a_worker_that_answers() {
+fn another_registration_at_its_address_does_not_end_a_worker_that_answers() {
     for service in ["svc", "foreign"] {
         let mut cluster = SimCluster::new(1, 3);
         cluster.run(seconds(1));
@@ -44,10 +45,11 @@
     }
 }
 
-/// The counterpart: a worker that has started anew is noticed by its answer. The poll that it was left
-/// with when it ended counts as lost after 0.6 s here; a connection that breaks tells at once.
+/// The counterpart: a worker that has restarted is detected by its answer. The poll that was
+/// pending when it ended counts as lost after 0.6 s here; a broken connection shows the end at
+/// once.
 #[gtest]
-fn another_life_at_its_address_ends_a_worker_that_is_gone() {
+fn another_instance_at_its_address_ends_a_lost_worker() {
     let mut cluster = SimCluster::new(2, 2);
     cluster.run(seconds(1));
     cluster.submit("now", "a", vec![step(2, 8, 2_000)]);
@@ -59,10 +61,11 @@
     expect_true!(cluster.workers["w0-1"].was_assigned("a"));
 }
 
-/// A worker of a service that nothing names was polled and noted in the store like any other. It is left
-/// alone until a configuration names its service; what runs on one whose entry changes so goes on.
+/// A worker of a service that no queue uses was polled and stored as in use like any other. It is
+/// ignored until a configuration names its service; if a worker's registration changes to such a
+/// service, its runs continue.
 #[gtest]
-fn a_worker_of_a_service_that_nothing_names_is_left_alone_until_one_does() {
+fn a_worker_of_an_unused_service_is_ignored_until_a_queue_uses_it() {
     let mut cluster = SimCluster::new(3, 2);
     cluster.run(seconds(1));
     cluster.submit("now", "a", vec![step(2, 8, 2_000)]);
@@ -88,7 +91,7 @@
 
     let mut config = (*cluster.config).clone();
     config.version = 2;
-    let mut queue = rule("extra", 0, false);
+    let mut queue = queue_rule("extra", 0, false);
     queue.service = "foreign".into();
     config.queues.insert(queue.id.clone(), Arc::new(queue));
     cluster.config = Arc::new(config);
@@ -105,10 +108,11 @@
     expect_true!(cluster.workers["w0-0"].was_assigned("d"));
 }
 
-/// While a worker's entry cannot be read it is like one that is not registered: what runs there goes on
-/// past its lease, nothing new is started, and it is used again when the entry is whole.
+/// While a worker's registration cannot be read, the worker counts as not registered: its runs
+/// continue past its lease, nothing new is started there, and it is used again once the
+/// registration is readable.
 #[gtest]
-fn a_worker_whose_entry_is_bad_for_a_while_loses_nothing() {
+fn a_worker_with_an_unreadable_registration_loses_no_run() {
     let mut cluster = SimCluster::new(4, 2);
     cluster.run(seconds(1));
     cluster.submit("now", "a", vec![step(2, 8, 9_000)]);
@@ -127,10 +131,10 @@
     expect_true!(cluster.workers["w0-0"].was_assigned("b"));
 }
 
-/// A list of workers in use that could not be read was taken for an empty one: the next leader started at
-/// once what still ran at a worker that it could not reach.
+/// A list of workers in use that could not be read was treated as empty: the next leader
+/// immediately started a task that still ran at a worker out of its reach.
 #[gtest]
-fn a_takeover_without_the_list_of_workers_waits_for_what_may_run() {
+fn a_takeover_without_the_list_of_workers_waits_for_possible_runs() {
     let mut cluster = SimCluster::new(5, 2);
     cluster.run(seconds(1));
     cluster.submit("now", "a", vec![step(1, 8, 30_000)]);
@@ -138,7 +142,7 @@
     for worker in cluster.workers.values_mut().filter(|worker| worker.was_assigned("a")) {
         worker.connected = false;
     }
-    cluster.store.spoilt = true;
+    cluster.store.workers_unreadable = true;
     let epoch = cluster.store.epoch;
     cluster.leaders.remove(&epoch);
     cluster.elect();
--- a/tests/graph/restarts.rs
+++ b/tests/graph/restarts.rs
@@ -1,4 +1,4 @@
-//! Workers that start again under their ids: their ends, clocks and leases begin anew.
+//! Workers that restart under their ids: their end numbers, clocks and leases begin anew.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::sim_cluster::{SimCluster, count_runs, seconds, step};
 
-/// How long a worker is away.
+/// How long a restarting worker is down.
 const DOWNTIME: Duration = Duration::from_millis(500);
 
 fn start_cluster(seed: u64, workers: u32) -> SimCluster {
@@ -28,7 +28,7 @@
     StepSpec { lasting: true, ..step(count, 1, 600_000) }
 }
 
-/// Workers where tasks of a job run.
+/// Workers that run tasks of a job.
 fn workers_running(cluster: &SimCluster, job: &str) -> Vec<WorkerId> {
     let runs =
         |worker: &&crate::model_worker::ModelWorker| worker.runs.keys().any(|t| &*t.job == job);
@@ -41,10 +41,10 @@
         .collect()
 }
 
-// The first ends of the new life had numbers that were known, were not read, and the next poll acknowledged them: their
-// tasks counted as lost and ran again.
+// The first ends of the new instance had numbers that were already known, were not read, and were
+// acknowledged by the next poll: their tasks counted as lost and ran again.
 #[gtest]
-fn ends_of_a_life_that_numbers_anew_are_heard() {
+fn ends_of_a_restarted_instance_are_received() {
     let mut cluster = start_cluster(61, 1);
     cluster.submit("now", "a", vec![step(6, 1, 300)]);
     cluster.run(seconds(2));
@@ -56,9 +56,9 @@
     expect_that!(cluster.started_runs, eq(10));
 }
 
-// The same where starts reach the new life before a poll has told of it.
+// The same where starts reach the new instance before a poll has reported it.
 #[gtest]
-fn ends_of_a_life_that_nothing_has_told_of_are_heard() {
+fn ends_of_an_instance_that_no_poll_has_reported_are_received() {
     for downtime in [30, 60, 100, 200, 400] {
         let mut cluster = start_cluster(62, 1);
         cluster.submit("now", "a", vec![step(6, 1, 300)]);
@@ -74,14 +74,14 @@
             expect_that!(
                 state,
                 some(eq(GraphState::Completed)),
-                "{number}, away for {downtime} ms"
+                "job b{number}, down for {downtime} ms"
             );
         }
     }
 }
 
-// The lists of the new life were taken for older than those of the one before, by its clock: tasks that last did not run
-// until that clock had passed the other.
+// By its clock, the reports of the new instance were treated as older than those of the previous
+// one: lasting tasks did not run until the new clock had passed the old one.
 #[gtest]
 fn lasting_tasks_run_again_after_their_worker_has_restarted() {
     let mut cluster = start_cluster(63, 3);
@@ -93,9 +93,9 @@
     expect_that!(count_runs(&cluster, "a"), eq(3));
 }
 
-// A worker that restarts again before a poll has told of the first time.
+// A worker restarts again before a poll has reported the first restart.
 #[gtest]
-fn lasting_tasks_run_again_after_their_worker_has_restarted_twice_in_a_silence() {
+fn lasting_tasks_run_again_after_two_restarts_without_a_poll_between() {
     let mut cluster = start_cluster(64, 2);
     cluster.submit("now", "a", vec![lasting(6)]);
     cluster.run(seconds(10));
@@ -107,10 +107,11 @@
     expect_that!(count_runs(&cluster, "a"), eq(6));
 }
 
-// A start was on its way, unanswered, while its worker restarted: the new life would still take it, as its clock is far
-// below the time that the start is good for. It must not begin elsewhere before the new life has refused it for good.
+// A start was in transit, unanswered, while its worker restarted. The new instance would still
+// accept it, as its clock is far below the time until which the start is valid. The task must not
+// start elsewhere before the new instance has refused it for good.
 #[gtest]
-fn a_start_that_a_later_life_may_still_take_does_not_run_elsewhere() {
+fn a_start_that_a_later_instance_may_still_accept_does_not_run_elsewhere() {
     for late in [600, 900, 1_500, 3_000, 6_000] {
         let mut cluster = start_cluster(65, 2);
         cluster.run(seconds(10));
@@ -123,7 +124,7 @@
                 live.next().map(|(_, worker)| worker.clone())
             })
         };
-        let worker = assigned_worker(&cluster).flatten().expect("the start was sent");
+        let worker = assigned_worker(&cluster).flatten().expect("no start was sent");
         cluster.crash_and_restart(&worker, Duration::from_millis(100));
         cluster.run(seconds(12));
         expect_that!(cluster.state("a"), some(eq(GraphState::Completed)), "late by {late} ms");
@@ -131,10 +132,11 @@
     }
 }
 
-// A start reached a life that nothing had told of, which holds it for the longest lease by the clock of the life before; cut off
-// then, its task ran there when its lease was over by that clock, and elsewhere.
+// A start reached an instance that no poll had reported, which holds it for the longest lease by
+// the previous instance's clock. The worker was then disconnected: when its lease was over by that
+// clock, the task still ran there, and was started elsewhere as well.
 #[gtest]
-fn a_task_at_a_life_that_was_never_heard_runs_nowhere_else() {
+fn a_task_at_an_instance_without_contact_runs_nowhere_else() {
     for seed in 0..8 {
         let mut cluster = start_cluster(170 + seed, 2);
         cluster.keep_ids(seed);
@@ -153,9 +155,10 @@
     }
 }
 
-// Answers that overtake each other by some milliseconds show no later life: the worker stays open while its poll hangs.
+// Answers that overtake each other by some milliseconds are no evidence of a new instance: the
+// worker still gets tasks while its poll is pending.
 #[gtest]
-fn answers_that_overtake_each_other_keep_a_worker_open() {
+fn reordered_answers_keep_a_worker_schedulable() {
     let mut cluster = start_cluster(71, 1);
     cluster.run(Duration::from_millis(10_300));
     let late = Some(Duration::from_millis(10));
@@ -174,8 +177,8 @@
     expect_that!(count_runs(&cluster, "b"), eq(1));
 }
 
-// A worker that answers again under its id was taken for one that had been silent: tasks that crash their workers were
-// started for good.
+// A worker that answers again under its id was treated as one that had only been silent: tasks that
+// crash their workers were started without end.
 #[gtest]
 fn crashes_of_workers_that_keep_their_ids_count() {
     for downtime in [300, 3_000, 7_000] {
@@ -185,13 +188,13 @@
         cluster.crashing_tasks.insert("bad.0.0.0".parse().unwrap(), Duration::from_millis(10));
         cluster.submit("now", "bad", vec![step(4, 1, 800)]);
         cluster.run(seconds(60));
-        expect_that!(cluster.state("bad"), some(eq(GraphState::Failed)), "away for {downtime} ms");
+        expect_that!(cluster.state("bad"), some(eq(GraphState::Failed)), "down for {downtime} ms");
     }
 }
 
-// The next leader finds a worker in the store by its id, and another life answers.
+// The next leader finds a worker in the store by its id, and another instance answers.
 #[gtest]
-fn a_leader_that_takes_over_hears_a_worker_that_has_restarted_since() {
+fn a_new_leader_accepts_a_worker_that_has_restarted_since() {
     let mut cluster = start_cluster(67, 2);
     cluster.submit("now", "a", vec![lasting(6)]);
     cluster.submit("later", "b", vec![step(4, 1, 3_000)]);
@@ -206,13 +209,14 @@
     expect_that!(cluster.state("b"), some(eq(GraphState::Completed)));
 }
 
-// The new life has less room than the one before, and had not registered yet when it was given work by what that one had.
+// The new instance has less capacity than the previous one, and was given tasks by the previous
+// one's capacity before it had registered.
 #[gtest]
-fn a_life_that_has_not_registered_is_given_no_work() {
+fn an_unregistered_instance_gets_no_tasks() {
     let mut cluster = start_cluster(69, 1);
     cluster.keep_ids(3);
     restart(&mut cluster, "w0-0");
-    // The poll that hung at the life before is answered by nobody.
+    // The poll that was pending at the previous instance gets no answer.
     cluster.run(DOWNTIME + Duration::from_millis(250));
     cluster.resize(&"w0-0".into(), ResourceVector::new(1_000, 2_000, 0));
     for number in 0..40 {
@@ -225,10 +229,10 @@
     expect_that!(cluster.state("b"), some(eq(GraphState::Completed)));
 }
 
-// A silent worker was given up with its lease; then another life answered a stop, and was given work before a poll had
-// told which life that is and what room it has.
+// A silent worker was given up with its lease. Then another instance answered a stop, and was given
+// tasks before a poll had reported that instance and its capacity.
 #[gtest]
-fn an_answer_to_a_stop_does_not_open_a_worker_that_was_silent() {
+fn an_answer_to_a_stop_does_not_make_a_silent_worker_schedulable() {
     let mut cluster = start_cluster(70, 1);
     cluster.keep_ids(3);
     cluster.submit("now", "a", vec![step(1, 1, 60_000)]);
@@ -247,9 +251,9 @@
     expect_that!(cluster.state("b"), some(eq(GraphState::Completed)));
 }
 
-// A registration of the life before is read again after the new one was heard.
+// A registration of the previous instance is read again after contact with the new one.
 #[gtest]
-fn an_old_registration_brings_no_earlier_life_back() {
+fn an_old_registration_does_not_restore_an_earlier_instance() {
     let mut cluster = start_cluster(68, 1);
     let old = cluster.workers[&WorkerId::from("w0-0")].registration.clone();
     restart(&mut cluster, "w0-0");
--- a/tests/graph/shards.rs
+++ b/tests/graph/shards.rs
@@ -1,4 +1,4 @@
-//! Several leaders: how the workers are divided, and jobs that more than one shard runs.
+//! Several leaders: the division of workers into shards, and jobs that several shards run.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 use crate::sim_cluster::{SimCluster, count_runs, seconds, step};
 
-/// Half a core for each of the best machines.
+/// Half a core for each of the fastest machines.
 const CPU_SHARE: f64 = 0.5;
 
 fn fleet(workers: &[usize]) -> ShardPlan {
@@ -44,30 +44,31 @@
 }
 
 #[gtest]
-fn a_large_fleet_has_a_leader_a_failure_domain() {
+fn a_large_fleet_has_a_leader_per_failure_domain() {
     let plan = fleet(&[220; 5]);
     let names: Vec<String> = plan.shards().iter().map(ToString::to_string).collect();
     expect_that!(names, eq(&vec!["d0", "d1", "d2", "d3", "d4"]));
     expect_that!(&*plan.shard_of(&"d3".into(), &"r1-7".into()), eq("d3"));
-    // A domain that came later than the division belongs to one of its shards.
+    // A domain that is not in the plan belongs to one of its shards.
     let late_domain = plan.shard_of(&"d9".into(), &"r1-7".into());
     expect_true!(plan.shards().contains(&late_domain));
 }
 
-// Two services and two kinds of workers leave a gang with eight accelerators a task five workers of a shard of
-// 117: in the shards of a fleet of 350 such gangs waited for good, while one leader carried it.
+// With two services and two kinds of workers, only five workers of a shard of 117 fit a gang with
+// eight accelerators a task: in the shards of a fleet of 350 such gangs waited forever, while a
+// single leader placed them.
 #[gtest]
 fn a_fleet_with_small_domains_has_one_leader() {
     for workers in [vec![117, 117, 116], vec![300, 300, 50], vec![24; 5]] {
         expect_false!(fleet(&workers).is_divided(), "{workers:?}");
     }
-    // However weak the machines are.
+    // The same holds for slow machines.
     let counts = (0..5).map(|number| (DomainId::from(format!("d{number}")), 24)).collect();
     expect_false!(ShardPlan::for_fleet(&counts, 0.12).is_divided());
 }
 
 #[gtest]
-fn a_domain_that_no_machine_carries_is_divided_by_racks() {
+fn a_domain_too_large_for_one_leader_is_divided_by_racks() {
     let plan = fleet(&[1_000, 200]);
     expect_that!(plan.shards().len(), eq(4));
     let mut racks: BTreeMap<ShardId, u32> = BTreeMap::new();
@@ -77,7 +78,7 @@
     }
     expect_that!(racks.len(), eq(3));
     expect_true!(racks.values().all(|count| *count >= 10), "{racks:?}");
-    // Each shard of the domain has its own entries to ask for advice.
+    // Each entry advises exactly one shard of the domain.
     for number in 0..50 {
         let entry = EntryId::from(format!("e{number}"));
         let advised_shards = plan.shards();
@@ -97,12 +98,12 @@
         expect_that!(order.iter().collect::<BTreeSet<_>>().len(), eq(5));
         second_shards.insert(order[1].clone());
     }
-    // Callers of a domain without a leader are spread over the others.
+    // Callers of a domain without a leader are distributed over the others.
     expect_that!(second_shards.len(), eq(4));
 }
 
 #[gtest]
-fn a_plan_reads_back_as_it_was_written() {
+fn a_serialized_plan_deserializes_to_the_same_plan() {
     for plan in [ShardPlan::undivided(), fleet(&[220; 5]), fleet(&[1_000, 200])] {
         let text = serde_json::to_string(&plan).unwrap();
         expect_that!(serde_json::from_str::<ShardPlan>(&text).unwrap(), eq(&plan));
@@ -124,8 +125,8 @@
     }
 }
 
-// A third of a shard's workers may run a step, one task each: forty tasks want more than one shard of 30
-// workers has.
+// Leaders expect advice to allow a third of a shard's workers, and each may run one task of the
+// step: forty tasks need more workers than one shard of 30 has.
 #[gtest]
 fn a_lasting_job_that_is_wider_than_a_shard_runs_in_several() {
     let mut cluster = SimCluster::sharded(41, 90, 3);
@@ -144,9 +145,10 @@
     expect_that!(count_runs(&cluster, "a"), eq(0));
 }
 
-// What a leader has told the others stands in the store: neither its loss nor theirs loses a share.
+// The notices from a leader to the others are stored, so a share survives the loss of either
+// leader.
 #[gtest]
-fn a_job_that_is_shared_out_outlives_its_leaders() {
+fn a_shared_job_survives_the_loss_of_leaders() {
     let mut cluster = SimCluster::sharded(42, 30, 3);
     let all = shards(&cluster);
     cluster.run(seconds(1));
@@ -171,10 +173,11 @@
     expect_that!(cluster.state_in("a"), some(eq(GraphState::Cancelled)));
 }
 
-// A leader that runs a share of a job gives up a task of it that crashes its workers. Without a word to the job's owner
-// its share stood still, and the job was shown as running for good.
+// A leader that runs a share of a job gives up a task of it that crashes its workers. Without a
+// notice to the job's owner its share made no progress, and the job was reported as running
+// forever.
 #[gtest]
-fn a_shared_job_fails_as_a_whole_when_one_share_has_a_task_that_crashes_its_workers() {
+fn a_shared_job_fails_when_one_share_has_a_task_that_crashes_its_workers() {
     let mut cluster = SimCluster::sharded(48, 24, 3);
     cluster.refuses_when_down = true;
     let all = shards(&cluster);
@@ -192,7 +195,7 @@
 
 // The leader of the share is lost as soon as it has stored that the task is given up.
 #[gtest]
-fn the_next_leader_of_a_share_tells_the_owner_that_a_task_is_given_up() {
+fn the_next_leader_of_a_share_notifies_the_owner_of_a_failed_task() {
     let mut cluster = SimCluster::sharded(49, 24, 3);
     cluster.refuses_when_down = true;
     let all = shards(&cluster);
@@ -218,7 +221,8 @@
     expect_that!(count_runs(&cluster, "a"), eq(0));
 }
 
-// A caller whose first request was accepted in one shard, unanswered, comes back to another.
+// A caller whose first request was accepted in one shard, but not answered, submits the job again
+// in another.
 #[gtest]
 fn a_job_submitted_in_two_shards_is_one_job() {
     let mut cluster = SimCluster::sharded(43, 12, 3);
@@ -261,8 +265,8 @@
     expect_that!(cluster.answers.get(&call), some(eq(&GraphAnswer::Accepted)));
 }
 
-// A leader that has been succeeded and does not know it sees a notice as its successor does. Only what the
-// store takes from it may run.
+// A leader that has been succeeded without knowing it sees the same notices as its successor. Only
+// a share that the store accepts from its leader may run.
 #[gtest]
 fn a_succeeded_leader_runs_no_share() {
     let mut cluster = SimCluster::sharded(45, 12, 2);
@@ -276,7 +280,8 @@
     expect_that!(NoticeKind::Start, lt(NoticeKind::Cancel));
 }
 
-// Gangs of 31 tasks were accepted in shards of 24 workers, and asked for advice every two seconds for good.
+// Gangs of 31 tasks were accepted in shards of 24 workers, and requested advice every two seconds
+// without end.
 #[gtest]
 fn a_gang_that_no_shard_can_hold_is_rejected_at_once() {
     let mut cluster = SimCluster::sharded(46, 9, 3);
@@ -292,10 +297,11 @@
     expect_that!(cluster.answers.get(&large), some(eq(&rejection)));
 }
 
-// Three workers of eight cores, each with a lasting task of four: a gang of two tasks of six cores fits in the empty
-// shard, and would wait for good. Where advice is needed, a part of the room that it allows is left to a gang.
+// Three workers of eight cores each run a lasting task of four: a gang of two tasks of six cores
+// fits in the empty shard, and would wait forever. Where advice is needed, only a part of the
+// capacity that it allows counts for a gang.
 #[gtest]
-fn a_gang_is_measured_by_what_lasting_tasks_leave() {
+fn a_gang_must_fit_beside_lasting_tasks() {
     let mut cluster = SimCluster::sharded(47, 9, 3);
     let home = shards(&cluster)[0].clone();
     cluster.run(seconds(1));
--- a/tests/graph/sim_cluster.rs
+++ b/tests/graph/sim_cluster.rs
@@ -106,7 +106,7 @@
     pub(crate) longest_stop: Duration,
 }
 
-pub(crate) fn rule(id: &str, priority: u32, advice: bool) -> QueueRule {
+pub(crate) fn queue_rule(id: &str, priority: u32, advice: bool) -> QueueRule {
     QueueRule {
         id: id.into(),
         host: "".into(),
@@ -132,7 +132,7 @@
         each: Duration::from_micros(6_500),
         valid: Duration::from_millis(2_000),
     };
-    QueueRule { advice: Some(advice), ..rule(id, priority, false) }
+    QueueRule { advice: Some(advice), ..queue_rule(id, priority, false) }
 }
 
 pub(crate) fn step(count: u32, cores: u32, millis: u64) -> StepSpec {
@@ -191,10 +191,10 @@
         let _ = env_logger::Builder::from_env("KELPLINK_LOG").format_timestamp(None).try_init();
         let now = Instant::now();
         let queues = [
-            rule("now", 0, false),
-            rule("asked", 1, true),
+            queue_rule("now", 0, false),
+            queue_rule("asked", 1, true),
             slow_advice_rule("watched", 1),
-            rule("later", 2, false),
+            queue_rule("later", 2, false),
         ];
         let queues = queues.into_iter().map(|rule| (rule.id.clone(), Arc::new(rule))).collect();
         let limits = RequestLimits { body_bytes: 1 << 18, head_time: Duration::from_secs(3) };
@@ -301,7 +301,7 @@
         let epoch = self.store.epoch;
         let stored = self.store.shards.entry(shard.clone()).or_default();
         stored.epoch = epoch;
-        let workers = match (self.store.spoilt, self.plan.is_divided()) {
+        let workers = match (self.store.workers_unreadable, self.plan.is_divided()) {
             (true, _) => Vec::new(),
             (false, true) => stored.workers.clone(),
             (false, false) => self.store.workers.clone(),
@@ -314,7 +314,7 @@
         let state = RestoredState {
             jobs: own.chain(parts).cloned().collect(),
             workers,
-            unknown_workers: self.store.spoilt,
+            unknown_workers: self.store.workers_unreadable,
         };
         let scope = ShardScope::new(self.plan.clone(), shard.clone());
         let mut leader =
@@ -1105,9 +1105,9 @@
             step.lasting || failed < record.rule.max_attempts as usize,
             "{task} has failed {failed} times"
         );
-        let in_touch =
+        let in_contact =
             current && self.now.saturating_duration_since(self.fault_free_since) >= CONTACT_DELAY;
-        if in_touch && self.crashing_tasks.contains_key(task) {
+        if in_contact && self.crashing_tasks.contains_key(task) {
             self.crash_checker.check_start(task);
         }
         if let Some(ended) = self.verdict_times.get(&task.job).filter(|_| current) {
--- a/tests/graph/sim_cluster/store.rs
+++ b/tests/graph/sim_cluster/store.rs
@@ -19,7 +19,7 @@
     /// Data of each shard, where there are several.
     pub(crate) shards: BTreeMap<ShardId, ModelShard>,
     /// Whether the list of workers in use cannot be read.
-    pub(crate) spoilt: bool,
+    pub(crate) workers_unreadable: bool,
     pub(crate) groups: u64,
 }
 
--- a/tests/graph/sim_cluster/worker_faults.rs
+++ b/tests/graph/sim_cluster/worker_faults.rs
@@ -29,7 +29,7 @@
     /// Crashes a worker with all its runs; it comes back after [`SimCluster::crash_downtime`].
     pub(crate) fn crash(&mut self, id: &WorkerId) {
         let downtime = self.crash_downtime;
-        if !self.go_down(id, downtime) {
+        if !self.take_down(id, downtime) {
             return;
         }
         let worker = id.clone();
@@ -42,7 +42,7 @@
 
     /// Crashes a worker that restarts under its id after `downtime`.
     pub(crate) fn crash_and_restart(&mut self, id: &WorkerId, downtime: Duration) {
-        if self.go_down(id, downtime) {
+        if self.take_down(id, downtime) {
             self.post(downtime, Message::Restart { worker: id.clone() });
         }
     }
@@ -62,7 +62,7 @@
     }
 
     /// Takes a worker down with all its runs. Returns whether it was up.
-    fn go_down(&mut self, id: &WorkerId, downtime: Duration) -> bool {
+    fn take_down(&mut self, id: &WorkerId, downtime: Duration) -> bool {
         let Some(worker) = self.workers.get_mut(id).filter(|worker| worker.up) else {
             return false;
         };
--- a/tests/graph/starvation.rs
+++ b/tests/graph/starvation.rs
@@ -1,4 +1,4 @@
-//! Tasks that wait for something that nobody looks at again.
+//! Tasks that wait forever because what they wait for is not considered again.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 use crate::model_worker::ModelWorker;
 use crate::sim_cluster::{SimCluster, count_runs, seconds, step};
 
-/// A step of tasks that last.
+/// A step of lasting tasks.
 fn lasting(count: u32, cores: u32) -> StepSpec {
     StepSpec { lasting: true, ..step(count, cores, 600_000) }
 }
 
-/// Lets advice allow every worker whose place in the list is told.
+/// Lets advice allow the workers whose index satisfies `is_allowed`.
 fn allow(cluster: &mut SimCluster, is_allowed: impl Fn(usize) -> bool) {
     let workers = cluster.workers.keys().cloned().enumerate();
     let allowed: BTreeSet<WorkerId> =
@@ -23,17 +23,18 @@
     cluster.allowed = Some(allowed);
 }
 
-/// Leaves jobs of a queue no time beside its target, so that room is made for them at once.
+/// Leaves jobs of a queue no slack before their target, so that tasks are preempted for them at
+/// once.
 fn remove_slack(cluster: &mut SimCluster, queue: &str) {
     let config = Arc::make_mut(&mut cluster.config);
     Arc::make_mut(config.queues.get_mut(queue).unwrap()).slack = 0.0;
 }
 
-// All workers are full of work that may be stopped. Advice allowed a third of the first 48 that were asked about;
-// room was made there, and the other tasks waited: only workers with free room were asked about after that, and
-// in a full service none has any.
+// All workers are full of preemptible runs. Advice allowed a third of the first 48 workers that
+// were asked about; runs were preempted there, and the other tasks waited: after that only workers
+// with free capacity were asked about, and a full service has none.
 #[gtest]
-fn a_step_in_a_full_service_asks_about_workers_on_which_room_can_be_made() {
+fn a_step_in_a_full_service_requests_advice_about_workers_with_preemptible_runs() {
     let mut cluster = SimCluster::new(51, 150);
     remove_slack(&mut cluster, "watched");
     allow(&mut cluster, |index| index % 3 == 0);
@@ -41,16 +42,17 @@
     cluster.submit("later", "full", vec![step(150, 8, 600_000)]);
     cluster.run(seconds(3));
     expect_that!(count_runs(&cluster, "full"), eq(150));
-    let one_a_worker = StepSpec { max_per_worker: Some(1), ..lasting(40, 1) };
-    cluster.submit("watched", "a", vec![one_a_worker]);
+    let one_per_worker = StepSpec { max_per_worker: Some(1), ..lasting(40, 1) };
+    cluster.submit("watched", "a", vec![one_per_worker]);
     cluster.run(seconds(15));
     expect_that!(count_runs(&cluster, "a"), eq(40));
 }
 
-// The first call for advice had no answer while all workers were full of work that may be stopped. The step
-// counted as known from then on, and what is known and without tickets is asked about only where room is free.
+// The first call for advice was not answered while all workers were full of preemptible runs. From
+// then on the step counted as known, and for a known step without tickets advice is requested only
+// about workers with free capacity.
 #[gtest]
-fn a_first_call_for_advice_without_an_answer_is_made_again_in_a_full_service() {
+fn an_unanswered_first_advice_call_is_repeated_in_a_full_service() {
     let mut cluster = SimCluster::new(52, 8);
     remove_slack(&mut cluster, "watched");
     cluster.run(seconds(1));
@@ -62,11 +64,11 @@
     expect_that!(count_runs(&cluster, "a"), eq(1));
 }
 
-// A step that has filled a hundred workers with its own tasks has their tickets renewed for ever, though it can
-// place nothing there. These names fill each call, so that workers with room that nobody has asked about yet
-// are never named, and the rest of the step waits.
+// A step that has filled a hundred workers with its own tasks has their tickets renewed without
+// end, though it can place nothing there. These workers filled each call, so that workers with free
+// capacity that had not been asked about were never named, and the rest of the step waited.
 #[gtest]
-fn a_wide_step_is_asked_for_beyond_the_workers_that_it_has_filled() {
+fn a_wide_step_requests_advice_beyond_the_workers_that_it_has_filled() {
     let mut cluster = SimCluster::new(53, 220);
     allow(&mut cluster, |index| index % 3 != 0);
     cluster.run(seconds(1));
@@ -75,11 +77,12 @@
     expect_that!(count_runs(&cluster, "a"), eq(130));
 }
 
-// A worker answered polls, and no start or stop. Its answers renewed its lease and said that nothing ran there,
-// and the start that it had left unanswered held the task for as long as the stop was not answered either. A
-// start is refused once its lease has passed on the worker's clock, so a list after that without it is certain.
+// A worker answered polls, but no start or stop. Its answers renewed its lease and reported no
+// runs, and the unanswered start kept the task assigned for as long as the stop was not answered
+// either. A start is refused once its lease has passed on the worker's clock, so a later report
+// without the run proves that it does not run.
 #[gtest]
-fn a_start_that_cannot_arrive_in_time_any_more_does_not_hold_its_task() {
+fn an_expired_start_does_not_hold_its_task() {
     let mut cluster = SimCluster::new(54, 4);
     cluster.run(seconds(1));
     cluster.planned_faults.starts = VecDeque::from([None; 4]);
@@ -89,10 +92,11 @@
     expect_that!(count_runs(&cluster, "a"), eq(1));
 }
 
-// One worker refused each start for want of room, while its polls said that it was empty. The refusal taught
-// nothing: the same worker was chosen again in the next pass, some hundred times a second.
+// One worker refused each start for lack of capacity, while its polls reported it as empty. The
+// refusal had no effect on placement: the same worker was chosen again in the next pass, some
+// hundred times a second.
 #[gtest]
-fn a_worker_that_refuses_for_want_of_room_is_not_tried_for_ever() {
+fn a_worker_that_refuses_for_lack_of_capacity_is_not_retried_forever() {
     let mut cluster = SimCluster::new(55, 4);
     cluster.run(seconds(1));
     cluster.workers.values_mut().next().unwrap().start_refusal = Some(WorkerRefusal::NoRoom);
@@ -101,14 +105,15 @@
     expect_that!(count_runs(&cluster, "a"), eq(1));
 }
 
-// Twelve steps wait for whole workers, and none is free. Renewals of their tickets come before the first question
-// of a small step behind them, which was never asked for advice though every worker had room for it.
+// Twelve steps wait for entire workers, and none is free. Renewals of their tickets came before the
+// first request of a small step submitted later, for which advice was never requested though every
+// worker had capacity for it.
 #[gtest]
-fn renewals_of_steps_without_room_leave_calls_to_steps_that_have_some() {
+fn ticket_renewals_leave_advice_calls_for_steps_that_can_be_placed() {
     let mut cluster = SimCluster::new(56, 24);
     cluster.run(seconds(1));
-    let one_a_worker = StepSpec { max_per_worker: Some(1), ..lasting(24, 1) };
-    cluster.submit("now", "spread", vec![one_a_worker]);
+    let one_per_worker = StepSpec { max_per_worker: Some(1), ..lasting(24, 1) };
+    cluster.submit("now", "spread", vec![one_per_worker]);
     cluster.run(seconds(1));
     for number in 0..12 {
         cluster.submit("watched", &format!("whole-{number}"), vec![lasting(4, 8)]);
@@ -119,8 +124,8 @@
     expect_that!(count_runs(&cluster, "small"), eq(1));
 }
 
-// A gang that lasts wants one rack, and none is large enough. Several racks are used once a step is late, and
-// what lasts is never late.
+// A lasting gang wants one rack, and none is large enough. Several racks are used once a step is
+// late, and a lasting step is never late.
 #[gtest]
 fn a_lasting_gang_that_no_rack_holds_is_placed_on_several() {
     let mut cluster = SimCluster::new(57, 8);
@@ -131,10 +136,10 @@
     expect_that!(count_runs(&cluster, "a"), eq(40));
 }
 
-// A worker went dark just before a start. Each of the four sends of the start counted as an extension of its
-// lease, as the looks at it had once.
+// A worker became unreachable just before a start. Each of the four sends of the start counted as
+// an extension of its lease, as polls once had.
 #[gtest]
-fn sending_an_unanswered_start_again_extends_no_lease() {
+fn resending_an_unanswered_start_extends_no_lease() {
     let mut cluster = SimCluster::new(58, 4);
     cluster.run(seconds(1));
     cluster.workers.values_mut().next().unwrap().up = false;
@@ -143,8 +148,9 @@
     expect_that!(count_runs(&cluster, "a"), eq(1));
 }
 
-// The rack with a job's data had room on one worker only, on which all runs failed. Nearness outweighed that: the
-// job failed for good within a second, with seven sound workers empty.
+// The rack with a job's data had free capacity on one worker only, on which all runs failed. The
+// affinity outweighed the failures: the job failed for good within a second, with seven healthy
+// workers idle.
 #[gtest]
 fn a_task_that_failed_near_its_data_is_tried_elsewhere() {
     let mut cluster = SimCluster::new(63, 8);
@@ -161,10 +167,10 @@
     expect_that!(cluster.state("a"), some(eq(GraphState::Completed)));
 }
 
-// One member of a lasting gang ended and its worker did not break the others. A gang is started as a whole, and
-// nothing stopped the rest of it.
+// One member of a lasting gang ended and its worker did not end the others. A gang is only started
+// as a whole, and nothing stopped the remaining members.
 #[gtest]
-fn a_lasting_gang_that_lost_a_member_by_its_end_is_started_again() {
+fn a_lasting_gang_is_started_again_after_the_end_of_a_member() {
     let mut cluster = SimCluster::new(61, 6);
     cluster.run(seconds(1));
     for (index, worker) in cluster.workers.values_mut().enumerate() {
@@ -178,10 +184,10 @@
     expect_that!(count_runs(&cluster, "a"), eq(3));
 }
 
-// A worker is not registered any more, runs nothing and answers polls. Each answer renewed its lease, which has to
-// end before it counts as gone.
+// A worker is no longer registered, runs nothing and answers polls. Each answer renewed its lease,
+// which has to end before the worker is forgotten.
 #[gtest]
-fn a_worker_without_registration_and_runs_is_left_alone() {
+fn a_worker_without_registration_and_runs_is_forgotten() {
     let mut cluster = SimCluster::new(62, 3);
     cluster.run(seconds(1));
     let id: WorkerId = "w0-0".into();
@@ -192,7 +198,7 @@
     expect_that!(cluster.store.workers.iter().any(|used| used.id == id), eq(false));
 }
 
-// What lasts is started again however it ends, as often as it may be.
+// Lasting tasks are started again however they end, without a limit on their failures.
 #[gtest]
 fn lasting_tasks_are_started_again_however_they_end() {
     let mut cluster = SimCluster::new(60, 4);
@@ -207,8 +213,9 @@
     }
 }
 
-// A gang that wants one rack waited for it until it was late, however many tasks it had: 33 tasks, two a worker,
-// with racks of twelve workers, did not run for the last 18 s of a day on which most room was free.
+// A gang that wants one rack waited for it until it was late, however many tasks it had: 33 tasks,
+// two per worker, with racks of twelve workers, did not run for the last 18 s of a long run in
+// which most capacity was free.
 #[gtest]
 fn a_gang_that_no_rack_can_hold_does_not_wait_for_one() {
     let mut cluster = SimCluster::new(61, 12);
@@ -217,7 +224,7 @@
     cluster.submit("later", "a", vec![gang(5)]);
     cluster.run(Duration::from_millis(500));
     expect_that!(count_runs(&cluster, "a"), eq(5));
-    // One that a rack can hold waits for it while it is not late.
+    // A gang that a rack can hold waits for a rack until it is late.
     cluster.submit("later", "b", vec![gang(4)]);
     cluster.run(Duration::from_millis(500));
     let racks = |cluster: &SimCluster| {
--- a/tests/graph/takeover.rs
+++ b/tests/graph/takeover.rs
@@ -1,4 +1,4 @@
-//! What a leader tells callers of jobs that it has from the leader before.
+//! What a leader reports about jobs that it took over from its predecessor.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 
 use crate::sim_cluster::{SimCluster, count_runs, seconds, step};
 
-/// The only task of a job of one task.
+/// The only task of a job with one task.
 const TASK: TaskKey = TaskKey::new(0, 0, 0);
 
-/// Workers that a leader has claimed.
+/// A cluster whose workers the leader has claimed.
 fn claimed_cluster(seed: u64, workers: u32) -> SimCluster {
     let mut cluster = SimCluster::new(seed, workers);
     cluster.refuses_when_down = true;
@@ -28,26 +28,26 @@
     }
 }
 
-/// Cuts all workers off and submits a job, whose starts reach none of them.
+/// Disconnects all workers and submits a job, whose starts therefore reach none of them.
 fn submit_while_disconnected(cluster: &mut SimCluster, steps: Vec<StepSpec>) {
     set_connected(cluster, false);
     cluster.submit("now", "a", steps);
 }
 
-/// The leader is lost, and another takes over.
+/// Removes the leader and elects another.
 fn take_over(cluster: &mut SimCluster) {
     let epoch = cluster.store.epoch;
     cluster.leaders.remove(&epoch);
     cluster.elect();
 }
 
-/// What callers are told: the job's state, and how many of its queue wait.
+/// The reported state of job `a`, and the number of pending jobs in its queue.
 fn shown_state(cluster: &mut SimCluster) -> (Option<GraphState>, usize) {
     let state = cluster.state("a");
     (state, cluster.leader().map_or(0, |leader| leader.jobs().pending("now")))
 }
 
-/// What callers are told by a leader that reads that progress of a job.
+/// What a new leader reports about a job whose stored progress was changed by `note`.
 fn shown_after(seed: u64, note: impl FnOnce(&mut GraphProgress)) -> (Option<GraphState>, usize) {
     let mut cluster = SimCluster::new(seed, 0);
     cluster.run(seconds(1));
@@ -66,8 +66,9 @@
 const QUEUED: (Option<GraphState>, usize) = (Some(GraphState::Queued), 1);
 const RUNNING: (Option<GraphState>, usize) = (Some(GraphState::Running), 0);
 
-// Five jobs had been accepted, no worker had begun a task of theirs, and a caller was told that none waits. Their starts
-// were noted in the store as ones that may have crashed a worker, and the next leader took the note for a begun task.
+// Five jobs had been accepted, no worker had started a task of theirs, and a caller was told that
+// none was pending. Their starts were stored as suspect runs, and the next leader took these for
+// started tasks.
 #[gtest]
 fn a_job_whose_starts_were_never_carried_out_is_counted_after_a_takeover() {
     let mut cluster = claimed_cluster(71, 2);
@@ -103,7 +104,7 @@
 }
 
 #[gtest]
-fn a_job_whose_workers_went_with_its_starts_is_counted_after_a_takeover() {
+fn a_job_whose_workers_were_lost_with_its_starts_is_counted_after_a_takeover() {
     let mut cluster = claimed_cluster(74, 2);
     cluster.submit("now", "a", vec![step(1, 1, 500)]);
     cluster.workers.values_mut().for_each(|worker| worker.up = false);
@@ -126,9 +127,10 @@
     expect_that!(cluster.started_runs, eq(0));
 }
 
-// After workers were lost that a leader never heard, it notes starts of inherited jobs as it makes them.
+// A leader that has lost workers before contact records starts of inherited jobs as suspect runs
+// when it sends them.
 #[gtest]
-fn a_job_whose_start_was_noted_as_it_was_sent_and_refused_is_counted_after_a_takeover() {
+fn a_job_with_a_refused_suspect_run_is_counted_after_a_takeover() {
     let mut cluster = claimed_cluster(76, 2);
     for worker in cluster.workers.values_mut() {
         worker.start_refusal = Some(WorkerRefusal::NoRoom);
@@ -142,14 +144,14 @@
     cluster.elect();
     cluster.run(seconds(10));
     let suspect_runs = &cluster.store.jobs["a"].1.trials;
-    expect_false!(suspect_runs.is_empty(), "nothing was noted");
+    expect_false!(suspect_runs.is_empty(), "no suspect run was stored");
     expect_that!(shown_state(&mut cluster), eq(QUEUED));
     take_over(&mut cluster);
     expect_that!(shown_state(&mut cluster), eq(QUEUED));
     expect_that!(cluster.started_runs, eq(0));
 }
 
-// A worker crashes and is back before the leader knows what became of a start that it never got.
+// A worker crashes and is back before the leader learns that a start never arrived there.
 #[gtest]
 fn a_job_whose_worker_crashed_before_a_start_arrived_is_counted_after_a_takeover() {
     let mut cluster = claimed_cluster(77, 1);
@@ -167,7 +169,7 @@
 }
 
 #[gtest]
-fn a_first_run_that_counts_is_no_begun_task() {
+fn a_stored_floor_is_no_started_task() {
     let shown = shown_after(78, |progress| {
         progress.floors.insert(TASK, 7);
     });
@@ -175,7 +177,7 @@
 }
 
 #[gtest]
-fn another_failure_domain_is_no_begun_task() {
+fn another_failure_domain_is_no_started_task() {
     let shown = shown_after(79, |progress| {
         progress.domains.insert("d1".into());
     });
@@ -183,7 +185,7 @@
 }
 
 #[gtest]
-fn a_start_that_may_have_crashed_its_worker_is_no_begun_task() {
+fn a_suspect_run_is_no_started_task() {
     let shown = shown_after(80, |progress| {
         progress.note_suspect_run(TASK, suspect_run());
     });
@@ -191,7 +193,7 @@
 }
 
 #[gtest]
-fn a_crash_under_a_start_that_may_not_have_arrived_is_no_begun_task() {
+fn an_unproven_crash_is_no_started_task() {
     let shown = shown_after(81, |progress| {
         progress.crashes.insert(TASK, BTreeMap::from([(1, false)]));
     });
@@ -199,7 +201,7 @@
 }
 
 #[gtest]
-fn all_notes_of_starts_that_may_not_have_arrived_are_no_begun_task() {
+fn all_records_of_unproven_starts_are_no_started_task() {
     let shown = shown_after(82, |progress| {
         progress.note_suspect_run(TASK, SuspectRun { run: 2, ..suspect_run() });
         progress.crashes.insert(TASK, BTreeMap::from([(1, false)]));
@@ -210,7 +212,7 @@
 }
 
 #[gtest]
-fn a_crash_under_a_run_that_surely_went_on_is_a_begun_task() {
+fn a_proven_crash_is_a_started_task() {
     let shown = shown_after(83, |progress| {
         progress.crashes.insert(TASK, BTreeMap::from([(1, true)]));
     });
@@ -218,7 +220,7 @@
 }
 
 #[gtest]
-fn a_success_a_failure_and_a_checkpoint_are_begun_tasks() {
+fn a_success_a_failure_and_a_checkpoint_are_started_tasks() {
     let done = shown_after(84, |progress| {
         progress.done.entry(StepKey { occurrence: 0, step: 0 }).or_default().insert(0);
     });
@@ -234,7 +236,7 @@
 }
 
 #[gtest]
-fn a_job_whose_first_task_succeeded_is_running_after_its_worker_went_and_a_takeover() {
+fn a_job_whose_first_task_succeeded_is_running_after_loss_of_its_worker_and_a_takeover() {
     let mut cluster = claimed_cluster(87, 1);
     let second = StepSpec { after: vec![0], ..step(1, 1, 60_000) };
     cluster.submit("now", "a", vec![step(1, 1, 200), second]);
@@ -245,7 +247,7 @@
 }
 
 #[gtest]
-fn a_job_whose_task_failed_is_running_after_its_worker_went_and_a_takeover() {
+fn a_job_whose_task_failed_is_running_after_loss_of_its_worker_and_a_takeover() {
     let mut cluster = claimed_cluster(88, 1);
     cluster.failing_jobs.insert("a".into());
     cluster.submit("now", "a", vec![step(1, 1, 500)]);
@@ -256,9 +258,10 @@
     expect_that!(shown_state(&mut cluster), eq(RUNNING));
 }
 
-// The worker is silent right after it has answered the start, and the store is told so.
+// The worker becomes silent right after it has answered the start, and the leader stores a suspect
+// run.
 #[gtest]
-fn a_job_whose_task_had_begun_on_a_silent_worker_is_running_after_a_takeover() {
+fn a_job_whose_task_had_started_on_a_silent_worker_is_running_after_a_takeover() {
     let mut cluster = claimed_cluster(89, 2);
     cluster.submit("now", "a", vec![step(1, 1, 60_000)]);
     cluster.run(Duration::from_millis(300));
@@ -273,9 +276,10 @@
     expect_that!(shown_state(&mut cluster), eq(RUNNING));
 }
 
-// A run that its worker has outlived by far is given up with the worker's lease: the store is told which runs count.
+// A run that its worker has long survived is given up with the worker's lease, and the leader
+// stores the first run that counts.
 #[gtest]
-fn a_job_whose_run_was_given_up_after_it_had_begun_is_running_after_a_takeover() {
+fn a_job_whose_started_run_was_given_up_is_running_after_a_takeover() {
     let mut cluster = claimed_cluster(90, 2);
     cluster.submit("now", "a", vec![step(1, 1, 60_000)]);
     cluster.run(seconds(3));
@@ -302,9 +306,10 @@
     expect_that!(shown_state(&mut cluster), eq(RUNNING));
 }
 
-// The start is carried out before its stop is sent, after four sends without an answer, and the stop is lost.
+// The start is carried out before its stop is sent, after four sends without an answer, and the
+// stop is lost.
 #[gtest]
-fn a_run_that_is_listed_while_it_is_being_stopped_has_begun() {
+fn a_run_that_is_reported_while_it_is_being_stopped_has_started() {
     let mut cluster = claimed_cluster(92, 1);
     cluster.planned_faults.starts.extend([Some(Duration::from_millis(1_790)), None, None, None]);
     cluster.planned_faults.stops_to_lose = 100;
@@ -316,7 +321,7 @@
 
 // The answer to one of four sends comes after the stop that followed them.
 #[gtest]
-fn a_start_that_is_answered_while_its_run_is_being_stopped_has_begun() {
+fn a_start_that_is_answered_while_its_run_is_being_stopped_has_started() {
     let mut cluster = claimed_cluster(93, 1);
     cluster.planned_faults.starts.extend([Some(Duration::from_millis(1_790)), None, None, None]);
     cluster.planned_faults.stops_to_lose = 100;
@@ -335,10 +340,11 @@
     expect_that!(shown_state(&mut cluster), eq(RUNNING));
 }
 
-// A pass between the moment from which nothing of the leader before can run and the next look at the workers began the
-// task again without a note of the first run that counts; the leader after that acknowledged the end of the first run.
+// Between the moment from which no run of the previous leader can continue and the next check of
+// the workers, a placement pass started the task again without storing the first run that counts;
+// the leader after that acknowledged the end of the first run.
 #[gtest]
-fn a_task_of_an_unheard_worker_is_not_begun_again_before_its_earlier_runs_are_voided() {
+fn a_task_of_a_worker_without_contact_is_not_restarted_before_its_runs_are_invalidated() {
     let mut cluster = claimed_cluster(94, 6);
     cluster.submit("now", "a", vec![step(1, 1, 500)]);
     cluster.run(Duration::from_millis(300));
@@ -362,10 +368,11 @@
     cluster.run(seconds(3));
 }
 
-// A change that ends the term was not answered, and the next leader may take this one for ended: the other task, for which
-// there is room within the time for which the leader may go on without the store, is not started.
+// A change that ends the leader's term was not answered, and the next leader may assume that this
+// one has ended. The other task, which would fit within the time for which the leader may continue
+// without the store, is not started.
 #[gtest]
-fn a_leader_without_authority_starts_nothing_and_extends_no_lease() {
+fn a_leader_without_authority_starts_no_task_and_extends_no_lease() {
     let mut cluster = claimed_cluster(95, 1);
     cluster.submit("now", "a", vec![step(1, 8, 500)]);
     cluster.submit("now", "b", vec![step(1, 8, 500)]);
--- a/tests/graph/unread_registrations.rs
+++ b/tests/graph/unread_registrations.rs
@@ -1,4 +1,4 @@
-//! Jobs that are handed to a leader which has not read yet which workers are registered.
+//! Jobs submitted to a leader that has not read the registrations yet.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,14 +19,14 @@
     }
 }
 
-/// Three shards, and the one that [`take_over`] has a new leader for.
+/// A cluster with three shards, and the shard for which [`take_over`] creates a new leader.
 fn sharded(seed: u64, workers: u32) -> (SimCluster, ShardId) {
     let cluster = SimCluster::sharded(seed, workers, 3);
     let shard = cluster.plan.shards()[0].clone();
     (cluster, shard)
 }
 
-/// A new leader of a shard that knows no registration yet.
+/// Elects a leader of a shard that has read no registration yet.
 fn take_over(cluster: &mut SimCluster, shard: &ShardId) {
     let epoch = cluster.elect_in(shard);
     let scope = ShardScope::new(cluster.plan.clone(), shard.clone());
@@ -39,7 +39,7 @@
     cluster.leaders.insert(epoch, leader);
 }
 
-/// The leader reads the registrations of its own shard, or, after these, of the others.
+/// Lets the leader read the registrations of its own shard, or, after these, of the others.
 fn read_registrations(cluster: &mut SimCluster, shard: &ShardId, own: bool) {
     let (now, plan) = (cluster.now, cluster.plan.clone());
     let registrations = cluster.workers.values().map(|worker| worker.registration.clone());
@@ -58,7 +58,7 @@
     }
 }
 
-/// The registrations of all workers go, of its own shard and of the others.
+/// Removes the registrations of all workers, of the leader's shard and of the others.
 fn unregister_all(cluster: &mut SimCluster, shard: &ShardId) {
     let (now, workers) = (cluster.now, cluster.workers.keys().cloned());
     let workers: Vec<WorkerId> = workers.collect();
@@ -73,9 +73,10 @@
     cluster.answers.get(&call).cloned()
 }
 
-// A leader that had just taken over knew of no room at all: gangs were refused for a minute as too large for any shard.
+// A leader that had just taken over knew of no capacity at all: for a minute gangs were rejected as
+// too large for any shard.
 #[gtest]
-fn a_gang_is_not_hopeless_before_the_registrations_are_read() {
+fn a_gang_is_not_rejected_before_the_registrations_are_read() {
     let (mut cluster, shard) = sharded(48, 9);
     take_over(&mut cluster, &shard);
     let gang = StepSpec { gang: true, ..step(3, 6, 500) };
@@ -85,8 +86,8 @@
     expect_that!(answer(&mut cluster, call), some(eq(&GraphAnswer::Accepted)));
 }
 
-// Without the workers of the other shards a lasting job was accepted whole, and the tasks that its shard cannot hold
-// waited for good: how a job is shared out stands with its acceptance.
+// Without the workers of the other shards a lasting job was accepted as a whole, and the tasks that
+// did not fit in its shard waited forever: the shares of a job are fixed with its acceptance.
 #[gtest]
 fn a_wide_job_is_not_accepted_unshared_before_the_registrations_are_read() {
     let (mut cluster, shard) = sharded(49, 90);
@@ -102,7 +103,7 @@
     expect_that!(count_runs(&cluster, "a"), eq(40));
 }
 
-// No worker of the shard has the label: accepted there, the job waited for good.
+// No worker of the shard has the label: accepted there, the job waited forever.
 #[gtest]
 fn a_job_for_workers_elsewhere_is_not_accepted_before_the_registrations_are_read() {
     let (mut cluster, shard) = sharded(50, 12);
@@ -119,9 +120,9 @@
     expect_that!(answer(&mut cluster, call), some(eq(&elsewhere)));
 }
 
-// The store gives out the registrations late: the caller's entry goes on to another shard.
+// The store returns the registrations late: the caller's entry submits the job to another shard.
 #[gtest]
-fn a_job_does_not_wait_for_good_for_the_registrations() {
+fn a_job_does_not_wait_forever_for_the_registrations() {
     let (mut cluster, shard) = sharded(51, 9);
     take_over(&mut cluster, &shard);
     let call = cluster.submit_in(&shard, "now", "a", vec![step(2, 1, 500)]);
@@ -136,9 +137,9 @@
     expect_that!(cluster.started_runs, eq(0));
 }
 
-// A leader that ends tells those whose jobs it has kept to go to the next.
+// A leader that resigns directs the callers of jobs that it has deferred to the next leader.
 #[gtest]
-fn a_job_that_waits_for_the_registrations_is_let_go_with_leadership() {
+fn a_job_that_waits_for_the_registrations_is_returned_when_the_leader_resigns() {
     let (mut cluster, shard) = sharded(52, 9);
     take_over(&mut cluster, &shard);
     let call = cluster.submit_in(&shard, "now", "a", vec![step(2, 1, 500)]);
@@ -151,10 +152,11 @@
     expect_that!(answers.collect::<Vec<_>>(), eq(&vec![(call, GraphAnswer::Unready)]));
 }
 
-// Registrations expire while the store is away, and are back within two seconds after it: workers that were taken for
-// gone meanwhile had a gang refused for a minute and a wide job accepted unshared.
+// Registrations expire while the store is down, and are back within two seconds after that. With
+// those workers counted as lost in the meantime, a gang was rejected for a minute and a wide job
+// was accepted without shares.
 #[gtest]
-fn workers_whose_registrations_lapse_together_still_count_where_a_job_is_judged() {
+fn workers_whose_registrations_expire_together_still_count_at_admission() {
     let (mut cluster, shard) = sharded(53, 90);
     let workers: Vec<WorkerId> = cluster.workers.keys().cloned().collect();
     cluster.allowed = Some(workers.iter().step_by(2).cloned().collect());
@@ -172,9 +174,9 @@
     expect_that!(count_runs(&cluster, "a"), eq(40));
 }
 
-// A registration that stays away names a worker that is gone.
+// A worker whose registration stays away is lost.
 #[gtest]
-fn workers_that_do_not_register_again_do_not_count_for_good() {
+fn workers_that_do_not_register_again_stop_counting() {
     let (mut cluster, shard) = sharded(54, 9);
     cluster.run(seconds(1));
     for worker in cluster.workers.values_mut() {
@@ -188,10 +190,10 @@
     expect_that!(answer(&mut cluster, gang), some(eq(&refused)));
 }
 
-// The leases of idle workers run out while the store is away too, and such workers are forgotten once they are not
-// registered.
+// The leases of idle workers expire while the store is down too, and such workers are forgotten
+// once they are not registered.
 #[gtest]
-fn workers_whose_leases_ran_out_with_their_registrations_still_count() {
+fn workers_whose_leases_expired_with_their_registrations_still_count() {
     let (mut cluster, shard) = sharded(55, 9);
     cluster.run(seconds(1));
     cluster.store.up = false;
