--- a/tests/graph/combined_faults.rs
+++ b/tests/graph/combined_faults.rs
@@ -44,7 +44,7 @@
     expect_that!(cluster.workers["w0-1"].runs.len(), eq(2));
 }
 
-// In an outage of the store a job was reported as completed; then the worker that has_ends its end and
+// In an outage of the store a job was reported as completed; then the worker that held its end and
 // the leader were lost before the store was back. The next leader knew of no end and ran the task
 // again.
 #[gtest]
--- a/tests/graph/links.rs
+++ b/tests/graph/links.rs
@@ -36,7 +36,8 @@
     set_connected(&mut cluster, &silent, true);
     cluster.run(seconds(5));
     expect_that!(cluster.state("a"), some(eq(GraphState::Completed)));
-    // The worker is the last choice for further tasks, as their ends could not be acknowledged either.
+    // The worker is the last choice for further tasks, as their ends could not be acknowledged
+    // either.
     cluster.submit("now", "b", vec![step(1, 6, 400)]);
     cluster.run(Duration::from_millis(200));
     expect_that!(worker_of(&cluster, "b"), not(eq(&silent)));
--- a/tests/graph/random.rs
+++ b/tests/graph/random.rs
@@ -294,8 +294,9 @@
 
 // A task crashed its workers under four leaders in turn, each of which was lost before it had
 // noticed that the worker was silent. The fifth counted from one again, and three more starts
-// followed. A leader that has lost a worker before contact now records starts of tasks that may
-// have run there when it sends them: of 300 such seeds 2 fail instead of 8.
+// followed. A leader that loses a worker without ever having had contact with it now records the
+// starts of tasks that may have run there when it sends them: of 300 such seeds 2 fail instead of
+// 8.
 #[gtest]
 fn seed_20000011_counts_crashes_that_no_leader_saw() {
     run(UNSEEN_CRASHES_SEED);
--- a/tests/graph/sim_cluster.rs
+++ b/tests/graph/sim_cluster.rs
@@ -697,8 +697,8 @@
             }
             Message::Heartbeat { worker } => self.heartbeat(&worker),
             Message::Advised { leader, call } => {
-                // Denies one worker in eight (of each shard, where there are several), so that every step
-                // that a run submits can still be placed.
+                // Denies one worker in eight (of each shard, where there are several), so that
+                // every step that a run submits can still be placed.
                 let divisor = if self.plan.is_divided() { self.domains } else { 1 };
                 let digits = if self.plan.is_divided() { 2 } else { 1 };
                 let number = |worker: &str| {
@@ -756,8 +756,8 @@
         let last_lease_expiry = expiries.map(|end| end.number).max().unwrap_or(0);
         worker.ends.retain(|end| end.number > acked);
         for end in acknowledged {
-            // A lease that expires while nothing runs leaves no record on the worker, so only an end
-            // before a recorded expiry may belong to a task that has been started again.
+            // A lease that expires while nothing runs leaves no record on the worker, so only
+            // an end before a recorded expiry may belong to a task that was started again.
             let started_again = self.latest_runs.get(&end.task).is_some_and(|run| *run > end.run);
             let step = self.store.jobs.get(&end.task.job);
             let step = step.map(|(record, _)| &record.spec.steps[end.task.key.step.step as usize]);
--- a/tests/graph/waiting_checker.rs
+++ b/tests/graph/waiting_checker.rs
@@ -75,8 +75,8 @@
     }
 
     /// Checks that a job with a task running at a claimed worker is reported as started after
-    /// `fault_free` without faults. The count of pending jobs may be too high; a job still reported as
-    /// queued shows that evidence of the start was lost.
+    /// `fault_free` without faults. The count of pending jobs may be too high; a job still reported
+    /// as queued shows that evidence of the start was lost.
     pub(crate) fn check_running(
         &self,
         leader: &GraphController,
