--- a/src/node/answer_condition.rs
+++ b/src/node/answer_condition.rs
@@ -1,30 +1,30 @@
-//! What an answer of a leader rests on, and how old its lease may be then.
+//! Conditions under which a leader may give an answer, by the age of its lease.
 
 use std::time::Duration;
 
-/// Life of the lease in the store: a leader that dies is replaced after it.
+/// Time to live of the lease in the store, after which a leader that has died is replaced.
 pub(crate) const LEASE_TTL: Duration = Duration::from_millis(1_000);
-/// How old a count of waiting jobs may be.
-const COUNT_AGE: Duration = Duration::from_millis(2_000);
+/// Lease age from which a leader no longer counts waiting jobs.
+const MAX_COUNT_AGE: Duration = Duration::from_millis(2_000);
 
-/// What an answer of a leader rests on.
+/// The condition that an answer of a leader depends on.
 ///
-/// What a leader tells of its jobs is stored, and may be told however long ago the lease was renewed. A job that it does not
-/// have may have been accepted by a later leader, so that an absence or a count is told only within a time of the last renewal,
-/// from when that was sent.
+/// The reported state of a leader's own jobs is stored, so it may be reported whatever the age of the lease. A job that the
+/// leader does not have may have been accepted by a later leader. An absence or a count is therefore reported only for a
+/// limited time after the last renewal of the lease, measured from when the renewal was sent.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum AnswerCondition {
-    /// It counts the jobs that it has.
+    /// The answer is a count of the jobs that the leader has.
     Count,
-    /// It does not have the job.
+    /// The answer is that the leader does not have the job.
     Absence,
 }
 
 impl AnswerCondition {
-    /// Whether the answer may be given by a leader whose lease was renewed so long ago.
+    /// Whether a leader whose lease has this age may give the answer.
     pub(crate) fn holds(self, lease_age: Duration) -> bool {
         match self {
-            Self::Count => lease_age < COUNT_AGE,
+            Self::Count => lease_age < MAX_COUNT_AGE,
             Self::Absence => lease_age < LEASE_TTL,
         }
     }
--- a/src/node/input.rs
+++ b/src/node/input.rs
@@ -1,4 +1,4 @@
-//! What the other duties of a process tell the leader's duty.
+//! Inputs of the leader's loop from the other loops of the process.
 
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -10,49 +10,49 @@
 use crate::id::WorkerId;
 use crate::node::message::{AllowedWorkers, LeaderAnswer, LeaderCall};
 
-/// What comes to the leader's duty.
+/// An input of the leader's loop.
 pub(crate) enum LeaderInput {
-    /// A call of an entry, and where its answer goes.
+    /// A call from an entry, and the sender for its answer.
     Call(LeaderCall, oneshot::Sender<LeaderAnswer>),
     Registered(Box<WorkerRegistration>),
-    /// A worker of another shard.
+    /// A worker of another shard is registered.
     ListedElsewhere(ShardId, Box<WorkerRegistration>),
     Unregistered(WorkerId),
     /// All registrations have been read once.
     RegistrationsRead,
     /// A share of a job that another shard's leader has accepted.
     Share(Box<GraphRecord>),
-    /// The owner of a job that is shared out has ended it.
+    /// The leader that owns a shared job has ended it.
     ShareEnded(GraphId),
-    /// A share of a job that was accepted here has failed.
+    /// A share of a job that this leader accepted has failed.
     ShareFailed(GraphId),
     Polled(WorkerId, PollResult),
     Started(InstanceId, TaskName, RunNumber, CommandResult),
     Stopped(InstanceId, TaskName, RunNumber, CommandResult),
     Advised(AdviceId, Option<AllowedWorkers>),
     Stored(GroupNumber, GroupOutcome),
-    /// The lease in the store was renewed by a call sent then.
+    /// The lease in the store was renewed by a call sent at this time.
     Renewed(Instant),
-    /// A change that ends this leader's term was not answered; `expected` tells whether the next leader reckons with this one
-    /// going on.
+    /// A change that ends this leader's term was not answered. `expected` is whether the next leader takes into account
+    /// that this one may continue.
     InDoubt {
         expected: bool,
     },
-    /// This leader goes on under a later epoch.
+    /// This leader continues under a later epoch, which the store has at this revision.
     Epoch(LeaderEpoch, u64),
-    /// State for people to read.
+    /// Requests the controller's state for diagnosis.
     Dump(oneshot::Sender<serde_json::Value>),
     /// Stop leading.
     Resign,
 }
 
-/// How storing a group ended.
+/// Result of storing a commit group.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum GroupOutcome {
-    /// It is stored, but for jobs that another shard has.
+    /// The group is stored, except for jobs that another shard has.
     Stored { taken: Vec<GraphId> },
-    /// The store has refused it each time: it is surely not stored.
+    /// The store refused every try: the group is certainly not stored.
     Refused,
-    /// Another leads: the group is not stored and never will be.
+    /// Another leader was elected: the group is not stored and never will be.
     Deposed,
 }
--- a/src/node/leader.rs
+++ b/src/node/leader.rs
@@ -1,4 +1,4 @@
-//! The duty of the leader: feeds the decisions and has their actions carried out.
+//! The leader's loop: passes inputs to the [`GraphController`] and executes the actions it returns.
 
 #[cfg(test)]
 mod tests;
@@ -30,15 +30,15 @@
 use crate::platform::PAGE_TIME;
 use crate::ring::{RingReceiver, RingSender};
 
-/// Pause after the ledger could not be read.
+/// Pause before the ledger is read again after a failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Longest time for a page of jobs, from the third try on: a megabyte over a link of 2 Mbit/s takes four
-/// seconds, and with less no leader of such an entry ever began.
-const LONGEST_PAGE_TIME: Duration = Duration::from_secs(10);
-/// Inputs taken in before what is due is done.
-const MOST_INPUTS: usize = 64;
+/// Longest timeout for a page of jobs, reached with the third try: a megabyte takes four seconds over a
+/// link of 2 Mbit/s, and with a shorter timeout a leader on such a link never finished loading.
+const MAX_PAGE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Inputs handled in a row before the controller's due work is done.
+const MAX_INPUTS_PER_PASS: usize = 64;
 
-/// Leads until told to stop or another does.
+/// Leads a shard until it resigns, is replaced by another leader or its inputs end.
 pub(crate) struct LeaderLoop {
     shared: Arc<NodeShared>,
     shard: ShardId,
@@ -48,9 +48,10 @@
     sender: RingSender<LeaderInput>,
     input: RingReceiver<LeaderInput>,
     callers: BTreeMap<CallId, oneshot::Sender<LeaderAnswer>>,
-    states: StateQueries,
+    state_queries: StateQueries,
     last_call: CallId,
-    /// Whether it is not known if the term has ended: what this leader does not have may have been accepted by the next.
+    /// Whether the term may have ended without this leader knowing: jobs that it does not have may then have been
+    /// accepted by the next leader.
     in_doubt: bool,
 }
 
@@ -65,7 +66,7 @@
         let LeaderTerm { epoch, epoch_revision, predecessor } = term;
         let ledger = JobLedger::new(&shared, shard.clone(), epoch, epoch_revision);
         let callers = BTreeMap::new();
-        let states = StateQueries::default();
+        let state_queries = StateQueries::default();
         Self {
             shared,
             shard,
@@ -75,36 +76,36 @@
             sender,
             input,
             callers,
-            states,
+            state_queries,
             last_call: 0,
             in_doubt: false,
         }
     }
 
-    /// Leads.
+    /// Loads the ledger, then leads until the term ends.
     pub(crate) async fn run(mut self) {
         info!(shard = &*self.shard, epoch = self.epoch; "elected");
-        let mut time = PAGE_TIME;
+        let mut page_timeout = PAGE_TIME;
         let state = loop {
-            match self.ledger.load(time).await {
+            match self.ledger.load(page_timeout).await {
                 Ok(state) => break state,
                 Err(_) => sleep(RETRY_PAUSE).await,
             }
-            time = (time * 2).min(LONGEST_PAGE_TIME);
+            page_timeout = (page_timeout * 2).min(MAX_PAGE_TIMEOUT);
             if self.shared.members.borrow().shard(&self.shard).epoch > self.epoch {
                 return;
             }
         };
         let plan = self.shared.members.borrow().plan.clone();
         let Some(plan) = plan else {
-            return warn!(shard = &*self.shard; "leadership ends: the division is not known");
+            return warn!(shard = &*self.shard; "leadership ends: the shard plan is not known");
         };
         let (now, bounds) = (Instant::now(), self.shared.settings.bounds);
         let scope = ShardScope::new(plan, self.shard.clone());
         let mut controller = GraphController::new(now, unix_millis(), self.epoch, bounds, state)
             .with_scope(scope.clone())
             .awaiting_registrations();
-        let carrier = ActionExecutor::new(
+        let executor = ActionExecutor::new(
             self.shared.clone(),
             self.sender.clone(),
             self.ledger.clone(),
@@ -112,18 +113,18 @@
         );
         let (shared, sender) = (&self.shared, &self.sender);
         let registry = RegistryLoop::new(shared.clone(), scope.clone(), sender.clone());
-        let mut followers = vec![tokio::spawn(registry.run())];
+        let mut background_tasks = vec![tokio::spawn(registry.run())];
         if scope.plan.is_divided() {
             let notices = NoticeLoop::new(shared.clone(), &self.shard, sender.clone());
-            followers.push(tokio::spawn(notices.run()));
+            background_tasks.push(tokio::spawn(notices.run()));
         }
         self.shared.set_leading(&self.shard, Some(self.sender.clone()));
-        self.lead(&mut controller, carrier).await;
+        self.run_term(&mut controller, executor).await;
         self.shared.set_leading(&self.shard, None);
-        self.end(controller, &followers);
+        self.finish_term(controller, &background_tasks);
     }
 
-    async fn lead(&mut self, controller: &mut GraphController, mut carrier: ActionExecutor) {
+    async fn run_term(&mut self, controller: &mut GraphController, mut executor: ActionExecutor) {
         let mut clock = BootClock::new();
         let mut members = self.shared.members.subscribe();
         let mut config = self.shared.config.subscribe();
@@ -140,7 +141,7 @@
                     let Some(input) = input else {
                         return;
                     };
-                    if self.take_inputs(controller, &mut carrier, input) {
+                    if self.handle_inputs(controller, &mut executor, input) {
                         return;
                     }
                 }
@@ -162,54 +163,56 @@
                     }
                 }
             }
-            let begun = Instant::now();
-            controller.tick(begun, unix_millis());
-            controller.note_pass_time(begun.elapsed());
+            let started = Instant::now();
+            controller.tick(started, unix_millis());
+            controller.note_pass_time(started.elapsed());
             for action in controller.take_actions() {
-                self.carry_out(&carrier, action);
+                self.execute_action(&executor, action);
             }
-            let surely = self.holds(AnswerCondition::Absence, controller, begun);
-            self.states.answer(begun, |job| state_news(controller, surely, job));
+            let absence_certain = self.may_answer(AnswerCondition::Absence, controller, started);
+            self.state_queries
+                .answer_waiting(started, |job| state_update(controller, absence_certain, job));
             if controller.deposed() {
-                warn!(epoch = self.epoch; "a worker has seen a later leader: leadership ends");
+                warn!(epoch = self.epoch; "leadership ends: a worker has seen a later epoch");
                 return;
             }
         }
     }
 
-    /// Takes in an input and what else is there; tells whether leadership ends.
-    fn take_inputs(
+    /// Handles an input and those that have arrived since; returns whether leadership ends.
+    fn handle_inputs(
         &mut self,
         controller: &mut GraphController,
-        carrier: &mut ActionExecutor,
+        executor: &mut ActionExecutor,
         first: LeaderInput,
     ) -> bool {
         let mut next = Some(first);
-        for _ in 0..MOST_INPUTS {
+        for _ in 0..MAX_INPUTS_PER_PASS {
             let Some(input) = next else {
                 break;
             };
-            if self.take(controller, carrier, input) {
+            if self.handle_input(controller, executor, input) {
                 return true;
             }
             next = self.input.try_recv();
         }
         match next {
-            Some(input) => self.take(controller, carrier, input),
+            Some(input) => self.handle_input(controller, executor, input),
             None => false,
         }
     }
 
-    fn take(
+    /// Handles one input; returns whether leadership ends.
+    fn handle_input(
         &mut self,
         controller: &mut GraphController,
-        carrier: &mut ActionExecutor,
+        executor: &mut ActionExecutor,
         input: LeaderInput,
     ) -> bool {
         let (now, unix) = (Instant::now(), unix_millis());
         self.shared.note_leader_input();
         match input {
-            LeaderInput::Call(call, answer) => self.call(controller, now, call, answer),
+            LeaderInput::Call(call, answer) => self.handle_call(controller, now, call, answer),
             LeaderInput::Registered(registration) => {
                 controller.worker_registered(now, *registration)
             }
@@ -250,7 +253,7 @@
                 self.epoch = epoch;
                 self.in_doubt = false;
                 self.ledger.renew(epoch, revision);
-                carrier.set_epoch(epoch);
+                executor.set_epoch(epoch);
                 controller.renewed(epoch);
             }
             LeaderInput::Dump(answer) => {
@@ -261,12 +264,17 @@
         false
     }
 
-    /// Whether an answer may be given on a basis.
-    fn holds(&self, basis: AnswerCondition, controller: &GraphController, now: Instant) -> bool {
-        !self.in_doubt && basis.holds(controller.lease_age(now))
+    /// Whether an answer that depends on `condition` may be given now.
+    fn may_answer(
+        &self,
+        condition: AnswerCondition,
+        controller: &GraphController,
+        now: Instant,
+    ) -> bool {
+        !self.in_doubt && condition.holds(controller.lease_age(now))
     }
 
-    fn call(
+    fn handle_call(
         &mut self,
         controller: &mut GraphController,
         now: Instant,
@@ -278,14 +286,14 @@
         let lease_age = controller.lease_age(now);
         match call {
             LeaderCall::State(job) => {
-                let surely = self.holds(AnswerCondition::Absence, controller, now);
-                let news = state_news(controller, surely, &job);
-                self.states.ask(now, job, news, answer);
+                let absence_certain = self.may_answer(AnswerCondition::Absence, controller, now);
+                let update = state_update(controller, absence_certain, &job);
+                self.state_queries.answer_or_wait(now, job, update, answer);
             }
             LeaderCall::Reach => {
                 let _ = answer.send(LeaderAnswer::Leading);
             }
-            LeaderCall::Pending(_) if !self.holds(AnswerCondition::Count, controller, now) => {
+            LeaderCall::Pending(_) if !self.may_answer(AnswerCondition::Count, controller, now) => {
                 let _ = answer.send(LeaderAnswer::NotLeading);
             }
             LeaderCall::Pending(queue) => {
@@ -304,8 +312,8 @@
                 }
             }
             LeaderCall::Cancel(job)
-                if own_job(controller, &job).is_none()
-                    && !self.holds(AnswerCondition::Absence, controller, now) =>
+                if owned_job(controller, &job).is_none()
+                    && !self.may_answer(AnswerCondition::Absence, controller, now) =>
             {
                 let _ = answer.send(LeaderAnswer::NotLeading);
             }
@@ -316,21 +324,21 @@
         }
     }
 
-    fn carry_out(&mut self, carrier: &ActionExecutor, action: GraphAction) {
+    fn execute_action(&mut self, executor: &ActionExecutor, action: GraphAction) {
         match action {
             GraphAction::Answer(call, answer) => {
                 if let Some(caller) = self.callers.remove(&call) {
                     let _ = caller.send(answer.into());
                 }
             }
-            action => carrier.execute(action),
+            action => executor.execute(action),
         }
     }
 
-    /// Answers those of whom it is sure that nothing was done, who go to the next leader; the others get no answer.
-    /// Told to come back instead, jobs would be late by the pause.
-    fn end(mut self, mut controller: GraphController, followers: &[JoinHandle<()>]) {
-        followers.iter().for_each(JoinHandle::abort);
+    /// Answers [`LeaderAnswer::NotLeading`] to calls that have certainly had no effect, so that they are sent to the
+    /// next leader at once; other calls get no answer. Asking callers to retry later would delay their jobs by the pause.
+    fn finish_term(mut self, mut controller: GraphController, background_tasks: &[JoinHandle<()>]) {
+        background_tasks.iter().for_each(JoinHandle::abort);
         controller.resign();
         for action in controller.take_actions() {
             if let GraphAction::Answer(call, _) = action
@@ -368,19 +376,20 @@
     })
 }
 
-/// What may be told of a job; `surely` tells whether one that this leader does not have is surely gone.
-fn state_news(controller: &GraphController, surely: bool, id: &GraphId) -> StateUpdate {
-    match own_job(controller, id).filter(|job| job.durable) {
+/// What to report about a job. `absence_certain` is whether a job that this leader does not have certainly does not
+/// exist.
+fn state_update(controller: &GraphController, absence_certain: bool, id: &GraphId) -> StateUpdate {
+    match owned_job(controller, id).filter(|job| job.durable) {
         Some(job) if job.is_over() && job.stored_verdict.is_none() => {
             StateUpdate::Ending(job.state())
         }
         Some(job) => StateUpdate::Final(job.state()),
-        None if surely => StateUpdate::Gone,
+        None if absence_certain => StateUpdate::Gone,
         None => StateUpdate::Unsure,
     }
 }
 
-/// A job that this leader has; for one that is run here in part its owner answers.
-fn own_job<'c>(controller: &'c GraphController, id: &GraphId) -> Option<&'c GraphJob> {
+/// A job that this leader owns. Queries for a job of which only a part runs here are answered by its owner.
+fn owned_job<'c>(controller: &'c GraphController, id: &GraphId) -> Option<&'c GraphJob> {
     controller.jobs().get(id).filter(|job| !job.is_part())
 }
--- a/src/node/leader/tests.rs
+++ b/src/node/leader/tests.rs
@@ -1,4 +1,4 @@
-//! What a leader answers while it does not know whether it still leads.
+//! Answers of a leader that does not know whether it still leads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -47,11 +47,11 @@
     GraphRecord { spec, rule, home: None, share: None }
 }
 
-/// A leader with a job that waits and one that is completed, whose lease has just been renewed.
+/// A leader that has a waiting and a completed job, and whose lease has just been renewed.
 struct TestLeader {
-    duty: LeaderLoop,
+    leader_loop: LeaderLoop,
     controller: GraphController,
-    carrier: ActionExecutor,
+    executor: ActionExecutor,
 }
 
 impl TestLeader {
@@ -59,29 +59,30 @@
         let shared = Arc::new(NodeShared::new(settings()));
         let (sender, receiver) = ring("leader", 16);
         let term = LeaderTerm { epoch: 1, epoch_revision: 1, predecessor: None };
-        let duty =
+        let leader_loop =
             LeaderLoop::new(shared.clone(), ShardId::from(""), term, sender.clone(), receiver);
-        let carrier = ActionExecutor::new(shared, sender, duty.ledger.clone(), 1);
-        let over =
+        let executor = ActionExecutor::new(shared, sender, leader_loop.ledger.clone(), 1);
+        let completed =
             GraphProgress { verdict: Some(GraphVerdict::Completed), ..GraphProgress::default() };
-        let jobs = vec![(record(WAITING), GraphProgress::default()), (record(COMPLETED), over)];
+        let jobs =
+            vec![(record(WAITING), GraphProgress::default()), (record(COMPLETED), completed)];
         let state = RestoredState { jobs, ..RestoredState::default() };
         let controller = GraphController::new(Instant::now(), 0, 1, settings().bounds, state);
-        let mut leader = Self { duty, controller, carrier };
-        leader.take(LeaderInput::Renewed(Instant::now()));
+        let mut leader = Self { leader_loop, controller, executor };
+        leader.handle_input(LeaderInput::Renewed(Instant::now()));
         leader
     }
 
-    fn take(&mut self, input: LeaderInput) {
-        self.duty.take(&mut self.controller, &mut self.carrier, input);
+    fn handle_input(&mut self, input: LeaderInput) {
+        self.leader_loop.handle_input(&mut self.controller, &mut self.executor, input);
         for action in self.controller.take_actions() {
-            self.duty.carry_out(&self.carrier, action);
+            self.leader_loop.execute_action(&self.executor, action);
         }
     }
 
     fn ask(&mut self, call: LeaderCall) -> Option<LeaderAnswer> {
         let (answer, mut answered) = oneshot::channel();
-        self.take(LeaderInput::Call(call, answer));
+        self.handle_input(LeaderInput::Call(call, answer));
         answered.try_recv().ok()
     }
 
@@ -93,7 +94,7 @@
         self.ask(LeaderCall::Cancel(GraphId::from(job)))
     }
 
-    /// The number of jobs that wait, or whatever else is answered.
+    /// The number of waiting jobs, or any other answer.
     fn pending(&mut self) -> std::result::Result<usize, Option<LeaderAnswer>> {
         match self.ask(LeaderCall::Pending(QueueId::from("now"))) {
             Some(LeaderAnswer::Pending(pending)) => Ok(pending),
@@ -102,81 +103,81 @@
     }
 }
 
-// A leader that the store left unanswered went on counting what it knew, without the jobs of the next leader.
+// A leader that could not reach the store went on counting its own jobs and missed those of the next leader.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_leader_without_its_lease_counts_too_few() {
+async fn a_leader_without_its_lease_does_not_count_jobs() {
     let mut leader = TestLeader::new();
     advance(Duration::from_millis(1_950)).await;
     expect_that!(leader.pending(), ok(eq(&1)));
     advance(Duration::from_millis(100)).await;
     expect_that!(leader.pending(), err(some(eq(&LeaderAnswer::NotLeading))));
-    leader.take(LeaderInput::Renewed(Instant::now()));
+    leader.handle_input(LeaderInput::Renewed(Instant::now()));
     expect_that!(leader.pending(), ok(eq(&1)));
 }
 
-// The renewal was sent long before it was answered: the lease has run from the sending.
+// A renewal may be answered long after it was sent; the lease runs from when it was sent.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_renewal_that_was_answered_late_is_taken_for_a_new_one() {
+async fn the_lease_age_is_measured_from_the_sending_of_a_renewal() {
     let mut leader = TestLeader::new();
     let sent = Instant::now();
     advance(Duration::from_millis(2_100)).await;
-    leader.take(LeaderInput::Renewed(sent));
+    leader.handle_input(LeaderInput::Renewed(sent));
     expect_that!(leader.pending(), err(some(eq(&LeaderAnswer::NotLeading))));
     expect_that!(leader.state(UNKNOWN), some(eq(&LeaderAnswer::NotLeading)));
 }
 
-// The renewal was answered, the machine was suspended, and the answer is taken in afterwards.
+// A renewal is answered, the machine is suspended, and the answer is handled afterwards.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_renewal_from_before_a_suspension_is_taken_for_a_new_one() {
+async fn a_renewal_sent_before_a_suspension_does_not_extend_the_lease() {
     let mut leader = TestLeader::new();
     advance(Duration::from_millis(250)).await;
     let sent = Instant::now();
     leader.controller.note_suspended(Instant::now(), Duration::from_secs(10));
-    leader.take(LeaderInput::Renewed(sent));
+    leader.handle_input(LeaderInput::Renewed(sent));
     expect_that!(leader.state(UNKNOWN), some(eq(&LeaderAnswer::NotLeading)));
     expect_that!(leader.pending(), err(some(eq(&LeaderAnswer::NotLeading))));
 }
 
-// The steady clock stands still while a machine is suspended, the lease in the store does not.
+// The monotonic clock stops while a machine is suspended, but the lease in the store goes on to expire.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_was_suspended_counts_too_few() {
+async fn a_suspension_adds_to_the_lease_age() {
     let mut leader = TestLeader::new();
     leader.controller.note_suspended(Instant::now(), Duration::from_millis(2_100));
     expect_that!(leader.pending(), err(some(eq(&LeaderAnswer::NotLeading))));
     expect_that!(leader.state(UNKNOWN), some(eq(&LeaderAnswer::NotLeading)));
 }
 
-// A job that the next leader had accepted was gone for callers of the one before.
+// A replaced leader reported a job as gone that the next leader had accepted.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_leader_without_its_lease_takes_unknown_jobs_for_gone() {
+async fn a_leader_without_its_lease_does_not_report_unknown_jobs_as_gone() {
     let mut leader = TestLeader::new();
     advance(Duration::from_millis(950)).await;
     expect_that!(leader.state(UNKNOWN), some(eq(&LeaderAnswer::Gone)));
     advance(Duration::from_millis(100)).await;
     expect_that!(leader.state(UNKNOWN), some(eq(&LeaderAnswer::NotLeading)));
-    // What it has is stored, also while the store is away for long.
+    // Jobs that the leader has are stored, so their state is reported even after a long outage of the store.
     advance(Duration::from_secs(20)).await;
     expect_that!(leader.state(UNKNOWN), some(eq(&LeaderAnswer::NotLeading)));
     expect_that!(leader.state(WAITING), some(eq(&LeaderAnswer::State(GraphState::Queued))));
     expect_that!(leader.state(COMPLETED), some(eq(&LeaderAnswer::State(GraphState::Completed))));
-    leader.take(LeaderInput::Renewed(Instant::now()));
+    leader.handle_input(LeaderInput::Renewed(Instant::now()));
     expect_that!(leader.state(UNKNOWN), some(eq(&LeaderAnswer::Gone)));
 }
 
-// A caller was told that there is nothing to cancel, and its job ran at the next leader.
+// A replaced leader answered that there was nothing to cancel, and the job ran under the next leader.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_leader_without_its_lease_refuses_cancellations_as_gone() {
+async fn a_leader_without_its_lease_does_not_refuse_cancellations_as_gone() {
     let mut leader = TestLeader::new();
     advance(Duration::from_millis(950)).await;
     expect_that!(leader.cancel(UNKNOWN), some(eq(&LeaderAnswer::Gone)));
     advance(Duration::from_millis(100)).await;
     expect_that!(leader.cancel(UNKNOWN), some(eq(&LeaderAnswer::NotLeading)));
-    // One that it has and that is over is told of at once.
+    // A job that it has and that is over is reported as gone regardless of the lease.
     expect_that!(leader.cancel(COMPLETED), some(eq(&LeaderAnswer::Gone)));
 }
--- a/src/node/leader_client.rs
+++ b/src/node/leader_client.rs
@@ -1,4 +1,4 @@
-//! How an entry reaches the leader, whoever it is.
+//! Calls to the leader of a shard, in this process or in another entry.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -15,46 +15,46 @@
 use crate::node::records::LeaderRecord;
 use crate::node::shared::NodeShared;
 
-/// Name in the log of calls for the leader.
+/// Name in the log of calls to the leader.
 const CALL_DUTY: &str = "calls";
-/// Name in the log of reading jobs past the leader.
+/// Name in the log of reading jobs from the store without the leader.
 const STATE_DUTY: &str = "states";
-/// Longest time for one try: a group takes some milliseconds, and 240 ms at a slow store.
-const TRY_TIME: Duration = Duration::from_millis(1_000);
-/// A try that has less time is not made: it could only end without an answer.
-const LEAST_TIME: Duration = Duration::from_millis(30);
+/// Longest time for one try: storing a group takes a few milliseconds, and 240 ms with a slow store.
+const TRY_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// No try is made with less time than this: it could only end without an answer.
+const MIN_TRY_TIMEOUT: Duration = Duration::from_millis(30);
 /// Pause before the next try.
 const TRY_PAUSE: Duration = Duration::from_millis(40);
-/// How long a call that has surely not arrived waits for a leader while one can be elected: the
-/// leader's lease and its takeover take less.
+/// How long a call that has certainly not arrived waits for a leader while one can be elected: the
+/// expiry of the old leader's lease and the takeover take less.
 const ELECTION_WAIT: Duration = Duration::from_millis(2_300);
-/// How long it waits while the store does not answer, so that nobody can be elected.
-const LEADER_WAIT: Duration = Duration::from_millis(350);
+/// How long such a call waits while the store does not answer, so that no leader can be elected.
+const STORE_DOWN_WAIT: Duration = Duration::from_millis(350);
 
-/// Shards that an entry tries to hand a job to: a second and a third fail together only where the store is
-/// away, and then all do.
-const MOST_SHARDS_TRIED: usize = 3;
+/// Most shards that an entry submits a job to: the second and the third fail together only where the store
+/// is unavailable, and then all shards do.
+const MAX_SHARDS_TRIED: usize = 3;
 
 /// Why a call for the leader has no answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum LeaderCallError {
-    /// No leader took it: nothing was done and nothing will be.
+    /// No leader took the call: it has had no effect and will have none.
     NotTaken,
-    /// It may have been carried out.
+    /// The call may have been carried out.
     Unknown,
 }
 
-/// What the store's index says of a job.
+/// Result of looking up a job's shard in the store's index.
 enum IndexedShard {
-    /// This shard has it.
+    /// This shard has the job.
     Known(ShardId),
-    /// No shard has it.
+    /// No shard has the job.
     None,
-    /// The store does not answer.
+    /// The index could not be read.
     Unread,
 }
 
-/// The way to the leader.
+/// Sends calls to the leaders of shards.
 pub(crate) struct LeaderClient {
     shared: Arc<NodeShared>,
     peers: PeerClient,
@@ -65,40 +65,40 @@
         Self { shared, peers: PeerClient::new() }
     }
 
-    /// Hands a job to the nearest shard that takes it.
+    /// Submits a job to the nearest shard that takes it.
     ///
-    /// A shard without a leader, or whose leader does not answer, costs one try where others can take the
-    /// job. It cannot be accepted twice: the store refuses the second.
+    /// While other shards can take the job, a shard without a leader, or whose leader does not answer, is tried
+    /// only once. The job cannot be accepted twice: the store refuses the second submission.
     pub(crate) async fn submit(
         &self,
         submission: JobSubmission,
         caller_timeout: Duration,
     ) -> Result<LeaderAnswer, LeaderCallError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let job = submission.record.spec.id.clone();
         let mut call = LeaderCall::Submit(Box::new(submission));
-        let plan = self.division(caller_timeout).await?;
-        let mut shards = VecDeque::from(self.shards_for(&plan, &job));
+        let plan = self.shard_plan(caller_timeout).await?;
+        let mut shards = VecDeque::from(self.candidate_shards(&plan, &job));
         let mut failure = LeaderCallError::NotTaken;
         let mut rejection = None;
         while let Some(shard) = shards.pop_front() {
-            let left = caller_timeout.saturating_sub(begun.elapsed());
+            let remaining = caller_timeout.saturating_sub(started.elapsed());
             let last = shards.is_empty();
             let answer = match last {
-                true => self.ask(&shard, &call, left).await,
-                false if left < LEAST_TIME => break,
-                false => self.ask_once(&shard, &call, left.min(TRY_TIME)).await,
+                true => self.ask(&shard, &call, remaining).await,
+                false if remaining < MIN_TRY_TIMEOUT => break,
+                false => self.ask_once(&shard, &call, remaining.min(TRY_TIMEOUT)).await,
             };
             match answer {
-                Ok(LeaderAnswer::Elsewhere(better)) => {
-                    shards.retain(|other| *other != better);
-                    shards.push_front(better);
+                Ok(LeaderAnswer::Elsewhere(preferred)) => {
+                    shards.retain(|other| *other != preferred);
+                    shards.push_front(preferred);
                     shards.push_back(shard);
-                    force(&mut call);
+                    set_forced(&mut call);
                 }
-                // An earlier try may still be accepted.
+                // An earlier try may still be accepted, so the job is not reported as rejected.
                 Ok(LeaderAnswer::Rejected(_)) if failure == LeaderCallError::Unknown => break,
-                // The store answers here: it may turn away that leader's machine only.
+                // The store answers this entry, so it may be unavailable only to that leader's machine.
                 Ok(LeaderAnswer::Rejected(retry)) if !last && !self.shared.store_is_late() => {
                     rejection = Some(retry);
                 }
@@ -113,8 +113,11 @@
         }
     }
 
-    /// The division of the workers; while it is not known, waits for it as long as a call waits for a leader.
-    async fn division(&self, caller_timeout: Duration) -> Result<Arc<ShardPlan>, LeaderCallError> {
+    /// The shard plan; while it is not known, waits for it as long as a call waits for a leader.
+    async fn shard_plan(
+        &self,
+        caller_timeout: Duration,
+    ) -> Result<Arc<ShardPlan>, LeaderCallError> {
         let mut members = self.shared.members.subscribe();
         let known = members.wait_for(|view| view.plan.is_some());
         match timeout(self.leader_wait().min(caller_timeout), known).await {
@@ -123,42 +126,44 @@
         }
     }
 
-    /// How long a call that has surely not arrived waits for a leader.
+    /// How long a call that has certainly not arrived waits for a leader.
     fn leader_wait(&self) -> Duration {
         match () {
-            // Another entry may serve the caller, who is sent there.
+            // This entry is cut off: the call fails at once, so that the caller can go to another entry.
             () if !self.shared.reaches_others() => Duration::ZERO,
             () if self.shared.store_is_heard() => ELECTION_WAIT,
-            () => LEADER_WAIT,
+            () => STORE_DOWN_WAIT,
         }
     }
 
-    /// Shards that may take a job, those first whose leaders are known.
-    fn shards_for(&self, plan: &ShardPlan, job: &GraphId) -> Vec<ShardId> {
+    /// Shards that may take a job; those with a known leader come first.
+    fn candidate_shards(&self, plan: &ShardPlan, job: &GraphId) -> Vec<ShardId> {
         let view = self.shared.members.borrow();
         let mut shards = plan.shard_order(&self.shared.settings.domain, job);
         shards.sort_by_key(|shard| view.leaderless(shard));
-        shards.truncate(MOST_SHARDS_TRIED);
+        shards.truncate(MAX_SHARDS_TRIED);
         shards
     }
 
-    /// Asks about a job at the leader that has it.
+    /// Sends a call about a job to the leader that owns the job.
     ///
-    /// Most callers come back to the failure domain where they handed their job in, so its shards are asked
-    /// first, and the store's index only where they do not know the job.
+    /// Most callers return to the failure domain where they submitted their job, so its shard is asked first. The
+    /// store's index is read only where that shard does not have the job or gives no answer.
     pub(crate) async fn ask_owner(
         &self,
         job: &GraphId,
         call: &LeaderCall,
         caller_timeout: Duration,
     ) -> Result<LeaderAnswer, LeaderCallError> {
-        let begun = Instant::now();
-        let plan = self.division(caller_timeout).await?;
-        let near = self.near_shard(&plan, job);
+        let started = Instant::now();
+        let plan = self.shard_plan(caller_timeout).await?;
+        let nearest = self.nearest_shard(&plan, job);
         if !plan.is_divided() {
-            return self.ask(&near, call, caller_timeout.saturating_sub(begun.elapsed())).await;
+            return self
+                .ask(&nearest, call, caller_timeout.saturating_sub(started.elapsed()))
+                .await;
         }
-        let first = self.ask_once(&near, call, caller_timeout.min(TRY_TIME)).await;
+        let first = self.ask_once(&nearest, call, caller_timeout.min(TRY_TIMEOUT)).await;
         match first {
             Ok(LeaderAnswer::Gone) | Err(_) => {}
             answer => return answer,
@@ -166,26 +171,26 @@
         let answer = match self.indexed_shard(job).await {
             IndexedShard::None => return Ok(LeaderAnswer::Gone),
             IndexedShard::Unread => return Err(first.err().unwrap_or(LeaderCallError::NotTaken)),
-            IndexedShard::Known(shard) if shard == near && first.is_ok() => first,
+            IndexedShard::Known(shard) if shard == nearest && first.is_ok() => first,
             IndexedShard::Known(shard) => {
-                self.ask(&shard, call, caller_timeout.saturating_sub(begun.elapsed())).await
+                self.ask(&shard, call, caller_timeout.saturating_sub(started.elapsed())).await
             }
         };
         match (call, answer) {
-            // The store has it: its leader could not read it or has been succeeded. One that is to be cancelled may
-            // have ended.
+            // The index has the job, so this leader could not read it or has been replaced. For a cancellation the
+            // answer stands, as the job may have ended.
             (LeaderCall::State(_), Ok(LeaderAnswer::Gone)) => Err(LeaderCallError::NotTaken),
             (_, answer) => answer,
         }
     }
 
-    /// The shard that most likely has a job that is asked about here.
-    fn near_shard(&self, plan: &ShardPlan, job: &GraphId) -> ShardId {
+    /// The shard that most likely has a job that callers of this entry ask about.
+    fn nearest_shard(&self, plan: &ShardPlan, job: &GraphId) -> ShardId {
         let shards = plan.shard_order(&self.shared.settings.domain, job);
         shards.into_iter().next().unwrap_or_else(|| ShardId::from(""))
     }
 
-    /// The shard of a job, by the store's index.
+    /// Reads the shard of a job from the store's index.
     async fn indexed_shard(&self, job: &GraphId) -> IndexedShard {
         let read = JobLedger::shard_of(&self.shared.store, job).await;
         self.shared.dependencies.store.tried(STATE_DUTY, &read);
@@ -196,29 +201,30 @@
         }
     }
 
-    /// Counts the jobs of a queue that wait, over all shards; `None` where one cannot be asked or the division is
+    /// Counts the waiting jobs of a queue over all shards; `None` if a shard cannot be asked or the shard plan is
     /// not known.
     pub(crate) async fn pending(&self, queue: &QueueId, caller_timeout: Duration) -> Option<usize> {
-        let begun = Instant::now();
-        let shards = self.division(caller_timeout).await.ok()?.shards();
-        let left = caller_timeout.saturating_sub(begun.elapsed());
+        let started = Instant::now();
+        let shards = self.shard_plan(caller_timeout).await.ok()?.shards();
+        let remaining = caller_timeout.saturating_sub(started.elapsed());
         let call = LeaderCall::Pending(queue.clone());
-        let asked = shards.iter().map(|shard| self.ask(shard, &call, left));
-        let answers = futures_util::future::join_all(asked).await;
+        let calls = shards.iter().map(|shard| self.ask(shard, &call, remaining));
+        let answers = futures_util::future::join_all(calls).await;
         let counts = shards.iter().zip(&answers).map(|(shard, answer)| match answer {
             Ok(LeaderAnswer::Pending(pending)) => format!("{shard}: {pending}"),
             answer => format!("{shard}: {answer:?}"),
         });
         let counts = counts.collect::<Vec<_>>().join(", ");
-        let counted = answers.into_iter().map(|answer| match answer {
+        let pending_counts = answers.into_iter().map(|answer| match answer {
             Ok(LeaderAnswer::Pending(pending)) => Some(pending),
             _ => None,
         });
-        let pending: Option<usize> = counted.sum();
-        info!(queue = &**queue, pending:?, shards = shards.len(), counts; "waiting jobs told");
+        let pending: Option<usize> = pending_counts.sum();
+        info!(queue = &**queue, pending:?, shards = shards.len(), counts; "waiting jobs of all shards counted");
         pending
     }
 
+    /// Makes one try.
     async fn ask_once(
         &self,
         shard: &ShardId,
@@ -234,22 +240,22 @@
         }
     }
 
-    /// Asks a shard's leader, whoever it is by then, until `caller_timeout` is over. All calls may be repeated; a
-    /// submission that was rejected once stays so, should an earlier try of it arrive late.
+    /// Sends a call to a shard's current leader and retries until `caller_timeout` is over. All calls may be repeated:
+    /// a submission that was rejected once stays rejected, even if an earlier try of it arrives late.
     async fn ask(
         &self,
         shard: &ShardId,
         call: &LeaderCall,
         caller_timeout: Duration,
     ) -> Result<LeaderAnswer, LeaderCallError> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let mut failure = LeaderCallError::NotTaken;
         loop {
-            let left = caller_timeout.saturating_sub(begun.elapsed());
-            if left < LEAST_TIME {
+            let remaining = caller_timeout.saturating_sub(started.elapsed());
+            if remaining < MIN_TRY_TIMEOUT {
                 return Err(failure);
             }
-            match self.ask_once(shard, call, left.min(TRY_TIME)).await {
+            match self.ask_once(shard, call, remaining.min(TRY_TIMEOUT)).await {
                 Ok(answer) => return Ok(answer),
                 Err(LeaderCallError::NotTaken) => {}
                 Err(LeaderCallError::Unknown) => failure = LeaderCallError::Unknown,
@@ -258,7 +264,7 @@
                 LeaderCallError::NotTaken => self.leader_wait().min(caller_timeout),
                 LeaderCallError::Unknown => caller_timeout,
             };
-            if begun.elapsed() + TRY_PAUSE >= limit {
+            if started.elapsed() + TRY_PAUSE >= limit {
                 return Err(failure);
             }
             sleep(TRY_PAUSE).await;
@@ -282,10 +288,10 @@
         match leader.filter(|leader| leader.start != self.shared.start) {
             Some(leader) => {
                 let answer = self.peers.ask(leader.address, shard, call, time).await;
-                let answer = answer.map(|answer| self.learned(shard, answer));
+                let answer = answer.map(|answer| self.record_leader(shard, answer));
                 note_leader(&self.shared, CALL_DUTY, &leader, time, &answer);
-                let led = answer.as_ref().is_ok_and(|answer| *answer != LeaderAnswer::NotLeading);
-                if led && self.is_beyond(&leader) {
+                let leads = answer.as_ref().is_ok_and(|answer| *answer != LeaderAnswer::NotLeading);
+                if leads && self.is_in_other_domain(&leader) {
                     self.shared.note_peer();
                 }
                 answer
@@ -297,16 +303,16 @@
         }
     }
 
-    /// Whether a leader is in another failure domain: the answer of one in this domain does not show that either of them
-    /// is not cut off.
-    fn is_beyond(&self, leader: &LeaderRecord) -> bool {
+    /// Whether a leader is in another failure domain. An answer from a leader in this entry's own domain does not
+    /// prove that the domain is not cut off.
+    fn is_in_other_domain(&self, leader: &LeaderRecord) -> bool {
         let view = self.shared.members.borrow();
         let record = view.entries.get(&leader.entry);
         record.is_some_and(|record| record.domain != self.shared.settings.domain)
     }
 
-    /// Takes in who leads, where the entry that was asked does not; of two the later epoch counts.
-    fn learned(&self, shard: &ShardId, answer: LeaderAnswer) -> LeaderAnswer {
+    /// Records the leader named by an entry that does not lead itself, unless one of a later epoch is known.
+    fn record_leader(&self, shard: &ShardId, answer: LeaderAnswer) -> LeaderAnswer {
         let LeaderAnswer::LedBy(leader) = answer else {
             return answer;
         };
@@ -321,8 +327,8 @@
         LeaderAnswer::NotLeading
     }
 
-    /// A job's state past a leader that cannot be reached, from the store; `None` where the store cannot be read or
-    /// the division is not known.
+    /// Reads a job's state from the store, for when the leader cannot be reached; `None` if the store cannot be read
+    /// or the shard plan is not known.
     pub(crate) async fn stored_state(&self, id: &GraphId) -> Option<LeaderAnswer> {
         let plan = self.shared.members.borrow().plan.clone()?;
         let shard = match plan.is_divided() {
@@ -331,7 +337,7 @@
                 IndexedShard::None => return Some(LeaderAnswer::Gone),
                 IndexedShard::Unread => return None,
             },
-            false => self.near_shard(&plan, id),
+            false => self.nearest_shard(&plan, id),
         };
         let read = JobLedger::job(&self.shared.store, &shard, id).await;
         let read = read.map_err(|error| format!("job {id}: {error}"));
@@ -347,14 +353,14 @@
     }
 }
 
-/// Has the next leader take a job though another might be better.
-fn force(call: &mut LeaderCall) {
+/// Makes the next leader accept a submission even if another shard suits the job better.
+fn set_forced(call: &mut LeaderCall) {
     if let LeaderCall::Submit(submission) = call {
         submission.forced = true;
     }
 }
 
-/// Notes how a call of a duty to the leader went.
+/// Records the result of a loop's call to the leader.
 pub(crate) fn note_leader(
     shared: &NodeShared,
     duty: &str,
@@ -363,16 +369,16 @@
     answer: &Result<LeaderAnswer, PeerFailure>,
 ) {
     let entry = &leader.entry;
-    let tried = match answer {
+    let result = match answer {
         Ok(LeaderAnswer::NotLeading) => Err(format!("{entry} does not lead")),
         Ok(_) => Ok(()),
         Err(PeerFailure::NotSent) => Err(format!("{entry} was not reached")),
         Err(PeerFailure::NoAnswer) => Err(format!("{entry} did not answer in {time:?}")),
     };
-    shared.dependencies.leader.tried(duty, &tried);
+    shared.dependencies.leader.tried(duty, &result);
 }
 
-/// Notes that a duty has no leader to call.
+/// Records that a loop has no leader to call.
 pub(crate) fn note_no_leader(shared: &NodeShared, duty: &str) {
     shared.dependencies.leader.tried(duty, &Err::<(), _>("no other entry leads"));
 }
--- a/src/node/leader_client_tests.rs
+++ b/src/node/leader_client_tests.rs
@@ -1,4 +1,4 @@
-//! What an entry answers while it does not know how the workers are divided among leaders.
+//! Answers of an entry that does not know the shard plan, or whose index of jobs cannot be relied on.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,26 +19,26 @@
 use crate::platform::decode_job;
 use crate::ring::ring;
 
-/// A job's name.
+/// Name of a job.
 const JOB: &str = "0123456789abcdef";
-/// Key of the index that names its shard.
+/// Key of the index entry that names the job's shard.
 const INDEX_KEY: &str = "i/0123456789abcdef";
 /// How long callers wait.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// How long an entry that has heard the store once waits for more: then it takes itself for cut off.
+/// Time without an answer of the store after which an entry regards itself as cut off.
 const REACH_SILENCE: Duration = Duration::from_millis(1_000);
 
-/// An entry that has not read the division.
+/// An entry that has not read the shard plan.
 fn entry(settings: NodeSettings) -> Arc<NodeShared> {
     Arc::new(NodeShared::new(settings))
 }
 
-/// The way to leaders of an entry that has heard nothing since its start.
-fn access(settings: NodeSettings) -> LeaderClient {
+/// The leader client of an entry that has received no answer since its start.
+fn client(settings: NodeSettings) -> LeaderClient {
     LeaderClient::new(entry(settings))
 }
 
-/// A submission of a job of one task.
+/// Submission of a job with one task.
 fn submission() -> JobSubmission {
     let rule = QueueRule {
         id: "q".into(),
@@ -57,7 +57,7 @@
     JobSubmission { attempt: 1, caller_timeout: CALLER_TIMEOUT, forced: false, record }
 }
 
-/// Serves a store that has one key at most, with its value as it goes over the wire.
+/// Serves a store with at most one key, whose value is given as on the wire.
 async fn serve_store(found: Option<(&'static str, &'static str)>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -83,54 +83,54 @@
     address
 }
 
-/// The way to leaders of an entry of a divided deployment whose store has such an index of [`JOB`].
-async fn indexed(value: &'static str) -> (Arc<NodeShared>, LeaderClient) {
+/// An entry of a deployment with several shards whose store has `value` as the index entry of [`JOB`], and its client.
+async fn client_with_index(value: &'static str) -> (Arc<NodeShared>, LeaderClient) {
     let store = serve_store(Some((INDEX_KEY, value))).await;
     let shared = Arc::new(NodeShared::new(NodeSettings { store, ..settings() }));
     shared.members.send_modify(|view| view.plan = divided(&[]).plan);
     (shared.clone(), LeaderClient::new(shared))
 }
 
-// The sum over no shard was told as the number of jobs that wait.
+// The sum over no shards was reported as the number of waiting jobs.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_queue_is_not_counted_as_empty_before_the_division_is_known() {
-    let begun = Instant::now();
-    let pending = access(settings()).pending(&"q".into(), CALLER_TIMEOUT).await;
+async fn a_queue_is_not_counted_as_empty_before_the_shard_plan_is_known() {
+    let started = Instant::now();
+    let pending = client(settings()).pending(&"q".into(), CALLER_TIMEOUT).await;
     expect_that!(pending, none());
-    expect_that!(begun.elapsed(), eq(Duration::ZERO));
+    expect_that!(started.elapsed(), eq(Duration::ZERO));
     let shared = entry(settings());
     shared.note_store("election");
     expect_that!(LeaderClient::new(shared).pending(&"q".into(), CALLER_TIMEOUT).await, none());
 }
 
-// The record of a job in a shard was looked for where an undivided deployment keeps it.
+// The record of a job was looked up under the key that an undivided deployment uses.
 #[gtest]
 #[tokio::test]
-async fn a_job_is_not_gone_before_the_division_is_known() {
-    let access = access(NodeSettings { store: serve_store(None).await, ..settings() });
-    expect_that!(access.stored_state(&GraphId::from(JOB)).await, none());
+async fn a_job_is_not_gone_before_the_shard_plan_is_known() {
+    let client = client(NodeSettings { store: serve_store(None).await, ..settings() });
+    expect_that!(client.stored_state(&GraphId::from(JOB)).await, none());
 }
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn what_is_asked_before_the_division_is_known_is_not_taken() {
-    let begun = Instant::now();
+async fn calls_before_the_shard_plan_is_known_are_not_taken() {
+    let started = Instant::now();
     let job = GraphId::from(JOB);
     for call in [LeaderCall::State(job.clone()), LeaderCall::Cancel(job.clone())] {
-        let answer = access(settings()).ask_owner(&job, &call, CALLER_TIMEOUT).await;
+        let answer = client(settings()).ask_owner(&job, &call, CALLER_TIMEOUT).await;
         expect_that!(answer, err(eq(&LeaderCallError::NotTaken)));
     }
-    let answer = access(settings()).submit(submission(), CALLER_TIMEOUT).await;
+    let answer = client(settings()).submit(submission(), CALLER_TIMEOUT).await;
     expect_that!(answer, err(eq(&LeaderCallError::NotTaken)));
-    expect_that!(begun.elapsed(), eq(Duration::ZERO));
+    expect_that!(started.elapsed(), eq(Duration::ZERO));
 }
 
-// An entry that has just started hears the store some moments before it has read the members: its callers were refused,
-// or their jobs handed to a shard that need not exist.
+// A new entry gets its first answer from the store shortly before it has read the members. In between it refused its
+// callers, or submitted their jobs to a shard that might not exist.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_job_is_handed_to_the_shard_of_a_division_that_is_read_meanwhile() {
+async fn a_job_waits_for_the_shard_plan_to_be_read() {
     let shared = entry(settings());
     shared.note_store("configuration");
     let (sender, calls) = ring("leader", 4);
@@ -140,32 +140,32 @@
             answer.send(LeaderAnswer::Accepted).unwrap();
         }
     });
-    let access = LeaderClient::new(shared.clone());
+    let client = LeaderClient::new(shared.clone());
     let read = async {
         sleep(REACH_SILENCE / 2).await;
         let domains = [("a".into(), 1), ("b".into(), 1)].into();
         let plan = Arc::new(ShardPlan::by_domain(domains));
         shared.members.send_modify(|view| view.plan = Some(plan));
     };
-    let (answer, ()) = tokio::join!(access.submit(submission(), CALLER_TIMEOUT), read);
+    let (answer, ()) = tokio::join!(client.submit(submission(), CALLER_TIMEOUT), read);
     expect_that!(answer, ok(eq(&LeaderAnswer::Accepted)));
 }
 
-// An index without a readable name was taken for that of a shard without a name, which has no job.
+// An index entry without a readable name was treated as that of the unnamed shard, which does not have the job.
 #[gtest]
 #[tokio::test]
-async fn a_job_whose_shard_is_unreadable_is_not_gone() {
+async fn a_job_with_an_unreadable_index_is_not_gone() {
     for value in ["7", r#""~""#, r#""""#] {
-        let (_, access) = indexed(value).await;
-        expect_that!(access.stored_state(&GraphId::from(JOB)).await, none(), "{value}");
+        let (_, client) = client_with_index(value).await;
+        expect_that!(client.stored_state(&GraphId::from(JOB)).await, none(), "{value}");
     }
 }
 
-// A leader that has been succeeded does not know the jobs of the next, and one that could not read a job left it out.
+// A replaced leader does not have the jobs of its successor, and a leader leaves out jobs that it could not read.
 #[gtest]
 #[tokio::test]
-async fn a_job_that_its_leader_does_not_know_is_not_gone_while_the_index_names_it() {
-    let (shared, access) = indexed(r#""YQ==""#).await;
+async fn a_job_unknown_to_its_leader_is_not_gone_while_the_index_names_it() {
+    let (shared, client) = client_with_index(r#""YQ==""#).await;
     let (input, receiver) = ring("leader", 4);
     shared.set_leading(&"a".into(), Some(input));
     tokio::spawn(async move {
@@ -176,9 +176,9 @@
         }
     });
     let job = GraphId::from(JOB);
-    let answer = access.ask_owner(&job, &LeaderCall::State(job.clone()), CALLER_TIMEOUT).await;
+    let answer = client.ask_owner(&job, &LeaderCall::State(job.clone()), CALLER_TIMEOUT).await;
     expect_that!(answer, err(eq(&LeaderCallError::NotTaken)));
-    // The leader tells the same of one that has ended, which cannot be cancelled.
-    let answer = access.ask_owner(&job, &LeaderCall::Cancel(job.clone()), CALLER_TIMEOUT).await;
+    // The leader gives the same answer for a job that has ended, which cannot be cancelled.
+    let answer = client.ask_owner(&job, &LeaderCall::Cancel(job.clone()), CALLER_TIMEOUT).await;
     expect_that!(answer, ok(eq(&LeaderAnswer::Gone)));
 }
--- a/src/node/message.rs
+++ b/src/node/message.rs
@@ -1,4 +1,4 @@
-//! Messages between entries, most of them for the leader.
+//! Messages between entries, most of them calls to the leader.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 use crate::id::WorkerId;
 use crate::node::records::LeaderRecord;
 
-/// A call for the leader.
+/// Method of a [`LeaderCall`].
 pub(crate) const ASK_METHOD: &str = "ask";
-/// A question to the service that gives placement advice.
+/// Method that gets placement advice from the advisor of an entry.
 pub(crate) const ADVISE_METHOD: &str = "advise";
-/// A question of a leader that leaves: whether an entry can lead after it.
+/// Method by which a leaving leader asks an entry whether it can lead next.
 pub(crate) const OFFER_METHOD: &str = "offer";
-/// The word of a leader that has ended to the entry that the store names after it.
+/// Method by which a leader that has ended informs the successor named in the store.
 pub(crate) const GIVE_METHOD: &str = "give";
-/// Largest call or answer, in bytes.
+/// Largest size of a call or an answer, in bytes.
 pub(crate) const CALL_BYTES: u32 = 4 << 20;
 
-/// Workers that the service for placement advice allows, with its tickets.
+/// Workers that the advisor allows, with its tickets.
 pub(crate) type AllowedWorkers = Vec<(WorkerId, TicketText)>;
 
-/// A call for the leader.
+/// A call to the leader.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
@@ -33,19 +33,19 @@
     Cancel(GraphId),
     State(GraphId),
     Pending(QueueId),
-    /// Whether it leads; any entry answers.
+    /// Asks whether the entry leads; any entry answers.
     Reach,
 }
 
-/// A job that a caller hands in.
+/// A job that a caller submits.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 pub(crate) struct JobSubmission {
-    /// Which request of the caller this is.
+    /// Identifies the caller's request.
     pub(crate) attempt: AttemptId,
     /// How long the caller waits.
     pub(crate) caller_timeout: Duration,
-    /// Whether this leader has to take it, though another might be better.
+    /// Whether this leader has to accept the job even if another shard suits it better.
     pub(crate) forced: bool,
     pub(crate) record: GraphRecord,
 }
@@ -57,22 +57,22 @@
 pub(crate) enum LeaderAnswer {
     /// The job is stored.
     Accepted,
-    /// The job never runs; when to come back.
+    /// The job will never run; the caller may retry after this time.
     Rejected(Duration),
-    /// The job was not taken: the leader of this shard should have it.
+    /// The job was not accepted: the leader of this shard should take it.
     Elsewhere(ShardId),
-    /// The job is cancelled, and that is stored.
+    /// The job is cancelled, and the cancellation is stored.
     Cancelled,
-    /// No such job, or it has ended.
+    /// The job does not exist or has ended.
     Gone,
     State(GraphState),
-    /// Number of jobs of a queue that wait.
+    /// Number of waiting jobs of a queue.
     Pending(usize),
     /// This entry leads.
     Leading,
     /// This entry does not lead: nothing was done.
     NotLeading,
-    /// The same from one that knows who does.
+    /// Like [`LeaderAnswer::NotLeading`], from an entry that knows the leader.
     LedBy(LeaderRecord),
 }
 
--- a/src/node/own_leader.rs
+++ b/src/node/own_leader.rs
@@ -1,4 +1,4 @@
-//! Calls for the leader where this process leads, of its own callers and of other entries.
+//! Calls to a leader of this process, from its own callers and from other entries.
 
 use tokio::sync::oneshot;
 
@@ -7,7 +7,7 @@
 use crate::node::message::{LeaderAnswer, LeaderCall};
 use crate::node::shared::NodeShared;
 
-/// Asks this process's leader of a shard; `None` where it ended without an answer.
+/// Sends a call to this process's leader of a shard; `None` if leadership ended without an answer.
 pub(crate) async fn ask_here(
     shared: &NodeShared,
     shard: &ShardId,
@@ -17,16 +17,16 @@
         return Some(LeaderAnswer::NotLeading);
     };
     if matches!(call, LeaderCall::Reach) {
-        // One that is cut off together with those that ask is of no use to them: it can store nothing, and their callers
-        // would be sent to it and refused for as long as the cut lasts.
+        // A leader that is cut off together with the asking entries cannot store anything. Entries that counted on it
+        // would accept callers and refuse them for as long as the partition lasts.
         return Some(match shared.reaches_others() {
             true => LeaderAnswer::Leading,
             false => LeaderAnswer::NotLeading,
         });
     }
-    let (answer, answered) = oneshot::channel();
+    let (answer, receiver) = oneshot::channel();
     match leader.offer(LeaderInput::Call(call, answer)) {
-        Ok(()) => answered.await.ok(),
+        Ok(()) => receiver.await.ok(),
         Err(_) => Some(LeaderAnswer::NotLeading),
     }
 }
--- a/src/node/state_queries.rs
+++ b/src/node/state_queries.rs
@@ -1,4 +1,4 @@
-//! Callers who ask for a job's state while its verdict is on the way to the store.
+//! Queries for a job's state that arrive while the job's verdict is being stored.
 
 use std::time::Duration;
 
@@ -8,68 +8,72 @@
 use crate::graph::{GraphId, GraphState};
 use crate::node::message::LeaderAnswer;
 
-/// How long a question for a state waits for the verdict to be stored: a group takes some milliseconds, and
-/// 240 ms at a slow store. A caller who is told that the job runs on asks again 0.2 s later on the median.
+/// How long a query waits for the verdict to be stored: storing a group takes a few milliseconds, and 240 ms with
+/// a slow store. A caller that gets the answer that the job still runs asks again 0.2 s later on the median.
 const STATE_WAIT: Duration = Duration::from_millis(250);
 
-/// What may be told of a job now.
+/// What can be reported about a job at present.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum StateUpdate {
-    /// This is the state.
+    /// The job is in this state.
     Final(GraphState),
-    /// It has ended, and the store does not have that yet.
+    /// The job has ended, but its end is not stored yet; this is the state in the store.
     Ending(GraphState),
-    /// There is no such job.
+    /// The job does not exist.
     Gone,
-    /// It is not known here, and a later leader may have accepted it.
+    /// This leader does not have the job, but a later leader may have accepted it.
     Unsure,
 }
 
 struct StateQuery {
     job: GraphId,
-    until: Instant,
+    deadline: Instant,
     answer: oneshot::Sender<LeaderAnswer>,
 }
 
-/// Questions that wait.
+/// Queries that wait for a verdict to be stored.
 #[derive(Default)]
 pub(crate) struct StateQueries {
-    questions: Vec<StateQuery>,
+    queries: Vec<StateQuery>,
 }
 
 impl StateQueries {
-    /// Answers at once where the state is final for now, or else once the store has the verdict.
-    pub(crate) fn ask(
+    /// Answers at once, unless the job's verdict is being stored: then the query waits for it.
+    pub(crate) fn answer_or_wait(
         &mut self,
         now: Instant,
         job: GraphId,
-        news: StateUpdate,
+        update: StateUpdate,
         answer: oneshot::Sender<LeaderAnswer>,
     ) {
-        match news {
+        match update {
             StateUpdate::Ending(_) => {
-                self.questions.push(StateQuery { job, until: now + STATE_WAIT, answer });
+                self.queries.push(StateQuery { job, deadline: now + STATE_WAIT, answer });
             }
-            news => tell(answer, news),
+            update => send_answer(answer, update),
         }
     }
 
-    /// Answers questions whose time has come.
-    pub(crate) fn answer(&mut self, now: Instant, news: impl Fn(&GraphId) -> StateUpdate) {
-        for question in std::mem::take(&mut self.questions) {
-            match news(&question.job) {
-                StateUpdate::Ending(_) if now < question.until => self.questions.push(question),
-                news => tell(question.answer, news),
+    /// Answers the queries whose verdict is stored or whose time is up.
+    pub(crate) fn answer_waiting(
+        &mut self,
+        now: Instant,
+        update: impl Fn(&GraphId) -> StateUpdate,
+    ) {
+        for query in std::mem::take(&mut self.queries) {
+            match update(&query.job) {
+                StateUpdate::Ending(_) if now < query.deadline => self.queries.push(query),
+                update => send_answer(query.answer, update),
             }
         }
     }
 }
 
-fn tell(answer: oneshot::Sender<LeaderAnswer>, news: StateUpdate) {
-    let told = match news {
+fn send_answer(answer: oneshot::Sender<LeaderAnswer>, update: StateUpdate) {
+    let reply = match update {
         StateUpdate::Final(state) | StateUpdate::Ending(state) => LeaderAnswer::State(state),
         StateUpdate::Gone => LeaderAnswer::Gone,
         StateUpdate::Unsure => LeaderAnswer::NotLeading,
     };
-    let _ = answer.send(told);
+    let _ = answer.send(reply);
 }
