--- a/src/node.rs
+++ b/src/node.rs
@@ -1,4 +1,4 @@
-//! The process on the platform: duties that carry out what the decisions in [`crate::graph`] ask for.
+//! The process that runs on the platform: its loops carry out the actions that [`crate::graph`] decides on.
 
 mod action_executor;
 mod answer_condition;
--- a/src/node/action_executor.rs
+++ b/src/node/action_executor.rs
@@ -1,4 +1,4 @@
-//! Carrying out the leader's calls to workers, the store and other entries.
+//! Executes the leader's calls to workers, the store and other entries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 use crate::platform::{CallContext, WorkerClient};
 use crate::ring::RingSender;
 
-/// Makes calls, each in a task of its own whose outcome goes back to the leader's duty.
+/// Makes each call in its own task, which sends the outcome to the leader's loop.
 pub(crate) struct ActionExecutor {
     shared: Arc<NodeShared>,
     leader: RingSender<LeaderInput>,
@@ -31,7 +31,7 @@
     times: AnswerTimes,
 }
 
-/// Measured times of the answers of all workers, shared by all calls.
+/// Measured response times of all workers, shared by all calls.
 #[derive(Clone, Debug, Default)]
 struct AnswerTimes {
     times: Arc<Mutex<AnswerTime>>,
@@ -46,8 +46,8 @@
         self.lock().wait()
     }
 
-    /// Notes how a command that was sent at `sent` was answered.
-    fn note(&self, sent: Instant, result: &CommandResult) {
+    /// Records the result of a command that was sent at `sent`.
+    fn note_answer(&self, sent: Instant, result: &CommandResult) {
         let now = Instant::now();
         match result {
             Ok(_) | Err(CallFailure::Refused(_)) => self.lock().answered(now - sent),
@@ -69,44 +69,44 @@
         Self { shared, leader, ledger, workers, peers, epoch, times }
     }
 
-    /// Later calls carry this epoch.
+    /// Sets the epoch that later calls carry.
     pub(crate) fn set_epoch(&mut self, epoch: LeaderEpoch) {
         self.epoch = epoch;
     }
 
-    /// Makes a call.
+    /// Starts the call that an action asks for. Answers to callers are sent by the leader's loop instead.
     pub(crate) fn execute(&self, action: GraphAction) {
         let (workers, leader) = (self.workers.clone(), self.leader.clone());
         let (times, sent) = (self.times.clone(), Instant::now());
-        let terms = CallContext { epoch: self.epoch, time: times.wait() };
+        let context = CallContext { epoch: self.epoch, time: times.wait() };
         match action {
             GraphAction::Poll { worker, address, until, acked, wait } => {
                 tokio::spawn(async move {
-                    let poll = workers.poll(terms, &worker, address, until, acked, wait);
+                    let poll = workers.poll(context, &worker, address, until, acked, wait);
                     let result = poll.await;
                     leader.send(LeaderInput::Polled(worker, result)).await;
                 });
             }
-            GraphAction::Start(order) => {
+            GraphAction::Start(command) => {
                 tokio::spawn(async move {
-                    let result = workers.start(terms, &order).await;
-                    times.note(sent, &result);
-                    let StartCommand { worker, instance_start, task, run, .. } = order;
+                    let result = workers.start(context, &command).await;
+                    times.note_answer(sent, &result);
+                    let StartCommand { worker, instance_start, task, run, .. } = command;
                     let instance = InstanceId::new(worker, instance_start);
                     leader.send(LeaderInput::Started(instance, task, run, result)).await;
                 });
             }
             GraphAction::Stop { worker, instance_start, address, task, run } => {
                 tokio::spawn(async move {
-                    let result = workers.stop(terms, &worker, address, &task, run).await;
-                    times.note(sent, &result);
+                    let result = workers.stop(context, &worker, address, &task, run).await;
+                    times.note_answer(sent, &result);
                     let instance = InstanceId::new(worker, instance_start);
                     leader.send(LeaderInput::Stopped(instance, task, run, result)).await;
                 });
             }
             GraphAction::Throttle { worker, address, task, run, percent } => {
                 tokio::spawn(async move {
-                    let throttle = workers.throttle(terms, &worker, address, &task, run, percent);
+                    let throttle = workers.throttle(context, &worker, address, &task, run, percent);
                     let result = throttle.await;
                     debug!(task:% = task, run, percent, result:?; "throttle answered");
                 });
--- a/src/node/callers.rs
+++ b/src/node/callers.rs
@@ -1,4 +1,4 @@
-//! Answering callers: jobs are submitted, looked at, cancelled and counted.
+//! HTTP handlers for callers, who submit, query, cancel and count jobs.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -29,23 +29,23 @@
 
 type Result<T> = std::result::Result<T, ProblemDetails>;
 
-/// How long a caller that says nothing is taken to wait.
+/// Timeout assumed for a caller that does not state one.
 const DEFAULT_CALLER_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Kept for the answer's way back.
+/// Time reserved for sending the answer back.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
-/// Part of a short patience that is kept at most: callers come back once more with their last 60 ms, and a job is taken
-/// within 15 ms.
-const MARGIN_PART: u32 = 3;
+/// [`ANSWER_MARGIN`] is at most the caller's timeout divided by this: callers make a last request with 60 ms left,
+/// and a job is accepted within 15 ms.
+const MARGIN_DIVISOR: u32 = 3;
 /// Longest time for a body to arrive.
-const BODY_TIME: Duration = Duration::from_millis(2_000);
-/// Advice on when to come back while there is no leader: an election takes two seconds at most.
+const BODY_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// When callers should retry while there is no leader: an election takes at most two seconds.
 const RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// Shared by all requests of callers.
+/// State shared by all requests of callers.
 #[derive(Clone)]
 pub(crate) struct CallerHandler {
     shared: Arc<NodeShared>,
-    access: Arc<LeaderClient>,
+    leader_client: Arc<LeaderClient>,
 }
 
 impl std::panic::UnwindSafe for CallerHandler {}
@@ -54,12 +54,12 @@
 
 impl CallerHandler {
     pub(crate) fn new(shared: Arc<NodeShared>) -> Self {
-        let access = Arc::new(LeaderClient::new(shared.clone()));
-        Self { shared, access }
+        let leader_client = Arc::new(LeaderClient::new(shared.clone()));
+        Self { shared, leader_client }
     }
 }
 
-/// Routes of callers: the configuration tells queues apart, so there is one handler.
+/// Routes for callers. All paths share one handler, as the configuration maps paths to queues.
 pub(crate) fn caller_routes() -> Router {
     build_simple_router(|route| {
         let methods = vec![Method::GET, Method::POST, Method::DELETE];
@@ -70,21 +70,21 @@
 
 fn handle(mut state: State) -> Pin<Box<HandlerFuture>> {
     Box::pin(async move {
-        let begun = Instant::now();
+        let started = Instant::now();
         let body = Body::try_take_from(&mut state).unwrap_or_default();
-        let desk = CallerHandler::borrow_from(&state).clone();
+        let handler = CallerHandler::borrow_from(&state).clone();
         let method = Method::borrow_from(&state).clone();
         let uri = Uri::borrow_from(&state).clone();
         let version = *Version::borrow_from(&state);
         let headers = HeaderMap::borrow_from(&state);
-        let request = CallerRequest { begun, version, method: &method, uri: &uri, headers };
-        let response = match desk.answer(&request, body).await {
+        let request = CallerRequest { started, version, method: &method, uri: &uri, headers };
+        let response = match handler.answer(&request, body).await {
             Ok(response) => response,
             Err(problem) => problem.response(),
         };
-        let response = desk.released(response);
+        let response = handler.close_if_unready(response);
         let status = response.status().as_u16();
-        let took = begun.elapsed();
+        let took = started.elapsed();
         metrics::histogram!("kelplink_caller_seconds", "method" => method.to_string())
             .record(took.as_secs_f64());
         let path = uri.path();
@@ -95,7 +95,7 @@
 
 /// A request of a caller, without its body.
 struct CallerRequest<'r> {
-    begun: Instant,
+    started: Instant,
     version: Version,
     method: &'r Method,
     uri: &'r Uri,
@@ -103,44 +103,47 @@
 }
 
 impl CallerRequest<'_> {
-    /// Time that is left for an answer.
+    /// Time left to answer the caller.
     fn caller_timeout(&self) -> Duration {
-        let whole =
+        let total =
             decode_caller_timeout(self.headers).ok().flatten().unwrap_or(DEFAULT_CALLER_TIMEOUT);
-        let margin = ANSWER_MARGIN.min(whole / MARGIN_PART);
-        whole.saturating_sub(margin).saturating_sub(self.begun.elapsed())
+        let margin = ANSWER_MARGIN.min(total / MARGIN_DIVISOR);
+        total.saturating_sub(margin).saturating_sub(self.started.elapsed())
     }
 
     fn host(&self) -> &str {
-        let named = self.headers.get(HOST).and_then(|host| host.to_str().ok());
-        named.or(self.uri.host()).unwrap_or_default()
+        let host_header = self.headers.get(HOST).and_then(|host| host.to_str().ok());
+        host_header.or(self.uri.host()).unwrap_or_default()
     }
 
-    /// Refuses a request without one clear host, as others on its way may have taken it for another's.
+    /// Rejects a request without exactly one valid host, as proxies may have routed it by a different one.
     fn check_host(&self) -> Result<()> {
         let mut hosts = self.headers.get_all(HOST).iter();
-        let named = match (hosts.next(), hosts.next()) {
+        let host_header = match (hosts.next(), hosts.next()) {
             (None, _) if self.version < Version::HTTP_11 => return Ok(()),
             (Some(host), None) => host,
-            _ => return Err(malformed("one host is expected")),
+            _ => return Err(malformed("exactly one host is expected")),
         };
-        if named.is_empty() && self.uri.authority().is_none() {
+        if host_header.is_empty() && self.uri.authority().is_none() {
             return Ok(());
         }
-        let Ok(named) = Authority::try_from(named.as_bytes()) else {
-            return Err(malformed("the host is none"));
+        let Ok(host_header) = Authority::try_from(host_header.as_bytes()) else {
+            return Err(malformed("the host is not valid"));
         };
         match self.uri.authority() {
-            Some(target) if *target != named => Err(malformed("the target has another host")),
+            Some(target) if *target != host_header => {
+                Err(malformed("the request target names another host"))
+            }
             _ => Ok(()),
         }
     }
 
     fn check_caller_timeout(&self) -> Result<()> {
-        let wrong = |detail| ProblemDetails::new(StatusCode::BAD_REQUEST, "no such time", detail);
+        let bad_request =
+            |detail| ProblemDetails::new(StatusCode::BAD_REQUEST, "invalid caller timeout", detail);
         decode_caller_timeout(self.headers)
             .map(|_| ())
-            .map_err(|detail| wrong(detail).ran(RunState::No))
+            .map_err(|detail| bad_request(detail).ran(RunState::No))
     }
 }
 
@@ -160,7 +163,7 @@
         match (request.method, name) {
             (&Method::GET, "") => self.pending(request, queue).await,
             (&Method::GET | &Method::DELETE, name) if !name.is_empty() && !is_job_name(name) => {
-                Err(gone("no job has such a name"))
+                Err(gone("the job name is not valid"))
             }
             (&Method::GET, name) => self.state(request, name).await,
             (&Method::POST, name) if !name.is_empty() => {
@@ -168,13 +171,15 @@
                 self.submit(request, queue, name, &body).await
             }
             (&Method::DELETE, name) if !name.is_empty() => self.cancel(request, name).await,
-            _ => Err(ProblemDetails::new(StatusCode::METHOD_NOT_ALLOWED, "not here", path)),
+            _ => {
+                Err(ProblemDetails::new(StatusCode::METHOD_NOT_ALLOWED, "method not allowed", path))
+            }
         }
     }
 
-    /// Closes the connection with a refusal where this entry is not ready: an open connection stays
-    /// here, a new one goes to an entry that can serve its caller.
-    fn released(&self, mut response: Response<Body>) -> Response<Body> {
+    /// Closes the connection after a refusal if this entry is not ready: requests on an open connection keep coming
+    /// here, while a new connection goes to an entry that can serve the caller.
+    fn close_if_unready(&self, mut response: Response<Body>) -> Response<Body> {
         if response.status() == StatusCode::SERVICE_UNAVAILABLE && !self.shared.ready() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -188,17 +193,17 @@
         name: &str,
         body: &[u8],
     ) -> Result<Response<Body>> {
-        let spec = decode_job(&queue.id, name, body, unix_millis()).map_err(|mistakes| {
+        let spec = decode_job(&queue.id, name, body, unix_millis()).map_err(|errors| {
             let status = StatusCode::BAD_REQUEST;
-            ProblemDetails::new(status, "no such job can be", mistakes.join("; ")).ran(RunState::No)
+            ProblemDetails::new(status, "invalid job", errors.join("; ")).ran(RunState::No)
         })?;
         let record = GraphRecord { spec, rule: (**queue).clone(), home: None, share: None };
         let caller_timeout = request.caller_timeout();
         let attempt = rand::random();
         let submission = JobSubmission { attempt, caller_timeout, forced: false, record };
-        match self.access.submit(submission, caller_timeout).await {
+        match self.leader_client.submit(submission, caller_timeout).await {
             Ok(LeaderAnswer::Rejected(retry)) => {
-                Err(unavailable("the job could not be taken").retry_after(retry))
+                Err(unavailable("the job could not be accepted").retry_after(retry))
             }
             Ok(LeaderAnswer::NotLeading | LeaderAnswer::Elsewhere(_))
             | Err(LeaderCallError::NotTaken) => Err(unavailable("no leader can be reached")),
@@ -210,10 +215,11 @@
     async fn state(&self, request: &CallerRequest<'_>, name: &str) -> Result<Response<Body>> {
         let job = GraphId::from(name);
         let call = LeaderCall::State(job.clone());
-        let answer = match self.access.ask_owner(&job, &call, request.caller_timeout() / 2).await {
-            Ok(answer @ (LeaderAnswer::State(_) | LeaderAnswer::Gone)) => Some(answer),
-            _ => self.access.stored_state(&job).await,
-        };
+        let answer =
+            match self.leader_client.ask_owner(&job, &call, request.caller_timeout() / 2).await {
+                Ok(answer @ (LeaderAnswer::State(_) | LeaderAnswer::Gone)) => Some(answer),
+                _ => self.leader_client.stored_state(&job).await,
+            };
         match answer {
             Some(LeaderAnswer::State(state)) => Ok(encode_state(state)),
             Some(_) => Err(gone(name)),
@@ -224,7 +230,7 @@
     async fn cancel(&self, request: &CallerRequest<'_>, name: &str) -> Result<Response<Body>> {
         let job = GraphId::from(name);
         let call = LeaderCall::Cancel(job.clone());
-        match self.access.ask_owner(&job, &call, request.caller_timeout()).await {
+        match self.leader_client.ask_owner(&job, &call, request.caller_timeout()).await {
             Ok(LeaderAnswer::Cancelled) => {
                 Ok(json_response(StatusCode::OK, &serde_json::json!({})))
             }
@@ -239,43 +245,44 @@
         request: &CallerRequest<'_>,
         queue: &QueueRule,
     ) -> Result<Response<Body>> {
-        match self.access.pending(&queue.id, request.caller_timeout()).await {
+        match self.leader_client.pending(&queue.id, request.caller_timeout()).await {
             Some(pending) => Ok(encode_pending(pending)),
             None => Err(unavailable("the queue cannot be counted now")),
         }
     }
 }
 
-async fn read_body(request: &CallerRequest<'_>, body: Body, most: usize) -> Result<bytes::Bytes> {
+async fn read_body(request: &CallerRequest<'_>, body: Body, limit: usize) -> Result<bytes::Bytes> {
     let too_large = || {
-        let detail = format!("at most {most} bytes");
+        let detail = format!("at most {limit} bytes");
         ProblemDetails::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large", detail)
             .closing()
     };
-    let announced = request.headers.get(CONTENT_LENGTH).and_then(|length| length.to_str().ok());
-    let announced = announced.and_then(|length| length.parse::<usize>().ok());
-    if announced.is_some_and(|length| length > most) {
+    let content_length =
+        request.headers.get(CONTENT_LENGTH).and_then(|length| length.to_str().ok());
+    let content_length = content_length.and_then(|length| length.parse::<usize>().ok());
+    if content_length.is_some_and(|length| length > limit) {
         return Err(too_large());
     }
-    match timeout(BODY_TIME, Limited::new(body, most).collect()).await {
+    match timeout(BODY_TIMEOUT, Limited::new(body, limit).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large()),
-        Ok(Err(_)) => Err(malformed("the body is not whole")),
+        Ok(Err(_)) => Err(malformed("the body is incomplete")),
         Err(_) => {
-            let detail = format!("not whole after {BODY_TIME:?}");
+            let detail = format!("incomplete after {BODY_TIMEOUT:?}");
             let status = StatusCode::REQUEST_TIMEOUT;
-            Err(ProblemDetails::new(status, "the body is late", detail).closing())
+            Err(ProblemDetails::new(status, "the body took too long", detail).closing())
         }
     }
 }
 
-/// The request breaks the rules of HTTP, so where the next begins is not sure.
+/// The request violates HTTP, so it is not certain where the next one on the connection begins.
 fn malformed(detail: &str) -> ProblemDetails {
     let status = StatusCode::BAD_REQUEST;
     ProblemDetails::new(status, "malformed", detail).ran(RunState::No).closing()
 }
 
-/// The request has not run and will not.
+/// The request has not been carried out and will not be.
 fn unavailable(detail: &str) -> ProblemDetails {
     ProblemDetails::new(StatusCode::SERVICE_UNAVAILABLE, "not taken", detail)
         .ran(RunState::No)
--- a/src/node/clock.rs
+++ b/src/node/clock.rs
@@ -1,4 +1,4 @@
-//! The clocks of a machine: the one that goes on while it is suspended, and the time since 1970.
+//! Clocks of the machine: the boot clock, which includes suspensions, and the Unix time, since 1970.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -7,10 +7,10 @@
 
 use crate::id::UnixMillis;
 
-/// Shortest suspension that is reported: below, it is the jitter of two clock readings.
-const LEAST_GAP: Duration = Duration::from_millis(50);
+/// Shortest suspension that is reported; shorter differences are jitter between the two clock readings.
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
-/// Finds suspensions by comparing the steady clock with the boot clock.
+/// Detects suspensions of the machine by comparing the monotonic clock with the boot clock.
 #[derive(Debug)]
 pub(crate) struct BootClock {
     steady: Instant,
@@ -22,23 +22,23 @@
         Self { steady: Instant::now(), boot: boot_time() }
     }
 
-    /// Time that the machine was suspended since the last call, if it was.
+    /// Returns how long the machine was suspended since the last call, if it was.
     pub(crate) fn suspended(&mut self) -> Option<Duration> {
         let (steady, boot) = (Instant::now(), boot_time());
-        let counted = steady.saturating_duration_since(self.steady);
-        let passed = boot.saturating_sub(self.boot);
+        let steady_elapsed = steady.saturating_duration_since(self.steady);
+        let boot_elapsed = boot.saturating_sub(self.boot);
         (self.steady, self.boot) = (steady, boot);
-        passed.checked_sub(counted).filter(|gap| *gap >= LEAST_GAP)
+        boot_elapsed.checked_sub(steady_elapsed).filter(|gap| *gap >= MIN_SUSPENSION)
     }
 }
 
-/// Time since the machine was started; zero, and so no suspension, where the clock cannot be read.
+/// Time since the machine was started, or zero if the clock cannot be read, so that no suspension is reported.
 fn boot_time() -> Duration {
     clock_gettime(ClockId::CLOCK_BOOTTIME).map(Duration::from).unwrap_or_default()
 }
 
 /// Milliseconds since the Unix epoch.
 pub(crate) fn unix_millis() -> UnixMillis {
-    let passed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(passed.as_millis()).unwrap_or(0)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(since_epoch.as_millis()).unwrap_or(0)
 }
--- a/src/node/lateness.rs
+++ b/src/node/lateness.rs
@@ -1,44 +1,44 @@
-//! Whether a leader's machine is too slow to lead, or has more to do than any would.
+//! Tells a machine that is too slow to lead from a leader with more load than any machine could handle.
 //!
-//! Load it answers: 1,100 workers under one leader, whose timers were late whichever machine it was. Nine entries
-//! in turn stepped down as too slow within a minute, and each successor claimed all workers anew, which made
-//! it late as well. A machine that is slow is late with little done.
+//! Late timers alone do not show that a machine is slow. With 1,100 workers under one leader, timers were late on
+//! every machine: nine entries in turn stepped down as too slow within a minute, and each successor claimed all
+//! workers again, which made its own timers late. On a slow machine timers are late although few inputs are handled.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Lateness of timers from which a machine may be too slow to lead: a healthy leader's are late by less
-/// than 5 ms, those of one that is seven times slower by 20 to 130 ms.
+/// Lateness of timers from which a machine may be too slow to lead: timers are late by less than 5 ms on a
+/// healthy leader, and by 20 to 130 ms on one that is seven times slower.
 const SLOW_LATENESS: Duration = Duration::from_millis(35);
-/// Answers and calls that a leader takes in a second for each core while it is late, from which it is not
-/// slow: half of what a leader of 220 workers took with all of its machine.
-const SOUND_INPUTS: f64 = 1_600.0;
-/// Weight of a new measurement, in fifths.
+/// Inputs per second and core from which a late leader is overloaded rather than slow: half of what a leader of
+/// 220 workers handled with its machine fully used.
+const BUSY_INPUTS_PER_CORE: f64 = 1_600.0;
+/// Weight of a new measurement in the moving average, in fifths.
 const NEW_WEIGHT: u32 = 2;
 
-/// How late timers are and how much is done meanwhile, smoothed over five timers.
+/// Moving averages of the lateness of timers and of the rate of handled inputs, over about five timers.
 #[derive(Clone, Debug)]
 pub(crate) struct LatenessMonitor {
     lateness: Duration,
-    inputs_a_second: f64,
+    inputs_per_second: f64,
     last: (Instant, u64),
 }
 
 impl LatenessMonitor {
     pub(crate) fn new() -> Self {
-        Self { lateness: Duration::ZERO, inputs_a_second: 0.0, last: (Instant::now(), 0) }
+        Self { lateness: Duration::ZERO, inputs_per_second: 0.0, last: (Instant::now(), 0) }
     }
 
-    /// A timer was late by `late`, and the leaders of this process have taken `inputs` in all so far.
+    /// Records that a timer was late by `late`; `inputs` is the total of inputs that this process's leaders have handled.
     pub(crate) fn note(&mut self, late: Duration, inputs: u64) {
-        let (at, before) = self.last;
-        let passed = at.elapsed().as_secs_f64();
+        let (measured_at, inputs_before) = self.last;
+        let seconds = measured_at.elapsed().as_secs_f64();
         self.lateness = (self.lateness * (5 - NEW_WEIGHT) + late * NEW_WEIGHT) / 5;
-        if passed > 0.0 {
+        if seconds > 0.0 {
             let weight = f64::from(NEW_WEIGHT) / 5.0;
-            let rate = inputs.saturating_sub(before) as f64 / passed;
-            self.inputs_a_second += (rate - self.inputs_a_second) * weight;
+            let rate = inputs.saturating_sub(inputs_before) as f64 / seconds;
+            self.inputs_per_second += (rate - self.inputs_per_second) * weight;
             self.last = (Instant::now(), inputs);
         }
     }
@@ -48,12 +48,12 @@
         self.lateness >= SLOW_LATENESS
     }
 
-    /// Whether a machine with so many cores is too slow to lead.
-    pub(crate) fn is_slow(&self, processor: f64) -> bool {
-        self.is_late() && self.inputs_a_second < SOUND_INPUTS * processor
+    /// Whether a machine with this many cores is too slow to lead.
+    pub(crate) fn is_slow(&self, cores: f64) -> bool {
+        self.is_late() && self.inputs_per_second < BUSY_INPUTS_PER_CORE * cores
     }
 
-    /// Begins to measure anew.
+    /// Resets the measured lateness.
     pub(crate) fn forget(&mut self) {
         self.lateness = Duration::ZERO;
     }
--- a/src/node/notices.rs
+++ b/src/node/notices.rs
@@ -1,4 +1,4 @@
-//! The duty of following what other shards' leaders have to tell, while this process leads.
+//! The loop that follows notices from the leaders of other shards, while this process leads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 use crate::node::shared::NodeShared;
 use crate::ring::RingSender;
 
-/// This duty's name in the log.
+/// Name of this loop in the log.
 const DUTY: &str = "notices";
 /// Prefix of all notices.
 const NOTICE_PREFIX: &str = "x";
-/// Longest wait of a watch: a connection that has gone silent is noticed after it and the watch's
-/// slack, within the three seconds that count as a disruption.
+/// Longest wait of a watch. A dead connection is detected after this time and the watch's slack, within the
+/// three seconds that count as a disruption.
 const WATCH_WAIT: Duration = Duration::from_millis(2_000);
-/// Pause after a call that failed.
+/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Key of a notice to a shard.
@@ -37,7 +37,7 @@
     }
 }
 
-/// Follows notices in the store.
+/// Reads and watches the notices to a shard and passes them to its leader.
 pub(crate) struct NoticeLoop {
     shared: Arc<NodeShared>,
     prefix: String,
@@ -54,11 +54,11 @@
         Self { shared, prefix, leader }
     }
 
-    /// Runs until the leader's duty has ended.
+    /// Runs until its task is aborted at the end of the leader's term.
     pub(crate) async fn run(self) {
         loop {
             let store = self.shared.dependencies.store.clone();
-            let result = match self.read().await {
+            let result = match self.read_all().await {
                 Ok(after) => {
                     store.answered(DUTY);
                     self.follow(after).await
@@ -72,27 +72,30 @@
         }
     }
 
-    async fn read(&self) -> Result<u64, StoreError> {
+    /// Handles all notices in the store and returns the revision from which to watch.
+    async fn read_all(&self) -> Result<u64, StoreError> {
         let mut after = String::new();
         let mut revision = None;
-        // Starts go before cancellations, whatever the order of their keys.
-        let mut cancelled = Vec::new();
+        // Cancellations are handled after all starts, whatever the order of their keys.
+        let mut cancellations = Vec::new();
         loop {
             let page = self.shared.store.page(&self.prefix, &after).await?;
-            let first = *revision.get_or_insert(page.revision);
+            let first_revision = *revision.get_or_insert(page.revision);
             for item in &page.items {
-                match self.named(&item.key) {
-                    Some((NoticeKind::Cancel, _)) => cancelled.push(item.clone()),
-                    Some((NoticeKind::Start | NoticeKind::Fail, _)) | None => self.take(item).await,
+                match self.parse_key(&item.key) {
+                    Some((NoticeKind::Cancel, _)) => cancellations.push(item.clone()),
+                    Some((NoticeKind::Start | NoticeKind::Fail, _)) | None => {
+                        self.handle_notice(item).await
+                    }
                 }
             }
             match page.items.last() {
                 Some(last) if page.more => after = last.key.clone(),
                 _ => {
-                    for item in &cancelled {
-                        self.take(item).await;
+                    for item in &cancellations {
+                        self.handle_notice(item).await;
                     }
-                    return Ok(first);
+                    return Ok(first_revision);
                 }
             }
         }
@@ -105,7 +108,7 @@
                     after = after.max(revision);
                     for event in events {
                         if let KeyEvent::Written(item) = event {
-                            self.take(&item).await;
+                            self.handle_notice(&item).await;
                         }
                     }
                 }
@@ -114,16 +117,16 @@
         }
     }
 
-    /// The kind of a notice and its job.
-    fn named<'k>(&self, key: &'k str) -> Option<(NoticeKind, &'k str)> {
+    /// Parses the kind and the job of a notice from its key.
+    fn parse_key<'k>(&self, key: &'k str) -> Option<(NoticeKind, &'k str)> {
         let (text, job) = key.strip_prefix(&self.prefix)?.split_once('/')?;
         let kinds = [NoticeKind::Start, NoticeKind::Cancel, NoticeKind::Fail];
         let kind = kinds.into_iter().find(|kind| label(*kind) == text)?;
         Some((kind, job))
     }
 
-    async fn take(&self, item: &KeyItem) {
-        let input = match self.named(&item.key) {
+    async fn handle_notice(&self, item: &KeyItem) {
+        let input = match self.parse_key(&item.key) {
             Some((NoticeKind::Cancel, job)) => LeaderInput::ShareEnded(job.into()),
             Some((NoticeKind::Fail, job)) => LeaderInput::ShareFailed(job.into()),
             Some((NoticeKind::Start, _)) => {
@@ -131,7 +134,7 @@
                     Ok(record) => LeaderInput::Share(Box::new(record)),
                     Err(failure) => {
                         count_unreadable(UnreadableKind::Ledger);
-                        error!(key = item.key, failure:% = failure; "a notice is unreadable");
+                        error!(key = item.key, failure:% = failure; "a notice could not be decoded");
                         return;
                     }
                 }
--- a/src/node/peer_service.rs
+++ b/src/node/peer_service.rs
@@ -1,4 +1,4 @@
-//! Answers to calls of other entries by JSON-RPC.
+//! JSON-RPC service for calls from other entries.
 
 use std::io;
 use std::sync::Arc;
@@ -24,12 +24,12 @@
 
 /// Name in the log of asking for advice on behalf of another entry.
 const DUTY: &str = "advice for the leader";
-/// JSON-RPC code of an error on the way to the advisor.
+/// JSON-RPC code of a failed call to the advisor.
 const ADVISOR_CODE: i32 = -32_001;
-/// JSON-RPC code where leadership ended during a call: it may have been carried out.
+/// JSON-RPC code for a call during which leadership ended: the call may have been carried out.
 const ENDED_CODE: i32 = -32_002;
 
-/// Serves calls of other entries.
+/// Starts the service.
 pub(crate) fn serve_peers(shared: Arc<NodeShared>) -> io::Result<ServerHandle> {
     let listener = crate::http::bind(shared.settings.peers)?;
     let config = ServerConfig::builder().max_request_body_size(CALL_BYTES).http_only().build();
@@ -43,15 +43,16 @@
     let mut module = RpcModule::new(shared);
     module.register_async_method(ASK_METHOD, |params, shared, _| async move {
         let (shard, call): (ShardId, LeaderCall) = params.parse()?;
-        let answer =
-            ask_here(&shared, &shard, call).await.map(|answer| led_by(&shared, &shard, answer));
+        let answer = ask_here(&shared, &shard, call)
+            .await
+            .map(|answer| name_leader(&shared, &shard, answer));
         answer.ok_or_else(|| ErrorObjectOwned::owned(ENDED_CODE, "leadership ended", None::<()>))
     })?;
     module.register_async_method(ADVISE_METHOD, |params, shared, _| async move {
         let (job, occurrence, step, workers, time): (GraphId, u32, u32, Vec<WorkerId>, Duration) =
             params.parse()?;
         let step = StepKey { occurrence, step };
-        advise_here(&shared, job, step, workers, time).await
+        ask_own_advisor(&shared, job, step, workers, time).await
     })?;
     module.register_async_method(OFFER_METHOD, |params, shared, _| async move {
         let (shard, epoch): (ShardId, LeaderEpoch) = params.parse()?;
@@ -59,16 +60,16 @@
     })?;
     module.register_async_method(GIVE_METHOD, |params, shared, _| async move {
         let (shard, term): (ShardId, LeaderTerm) = params.parse()?;
-        info!(shard = &*shard, epoch = term.epoch; "leadership is given to this entry");
+        info!(shard = &*shard, epoch = term.epoch; "leadership was handed to this entry");
         shared.handover_inbox.give(shard, term);
         Ok::<_, ErrorObjectOwned>(true)
     })?;
     Ok(module)
 }
 
-/// Who leads, where this entry does not and knows of another: callers' entries may hear of a change late from a store
-/// that is slow.
-fn led_by(shared: &NodeShared, shard: &ShardId, answer: LeaderAnswer) -> LeaderAnswer {
+/// Adds the known leader to the answer of an entry that does not lead: with a slow store the calling entry may learn
+/// of a change of leader late.
+fn name_leader(shared: &NodeShared, shard: &ShardId, answer: LeaderAnswer) -> LeaderAnswer {
     let leader = shared.members.borrow().leader(shard).cloned();
     match (answer, leader) {
         (LeaderAnswer::NotLeading, Some(leader)) if leader.entry != shared.settings.name => {
@@ -78,8 +79,8 @@
     }
 }
 
-/// What this entry offers as the next leader of a shard; nothing where it leads, leaves, is not registered or does not
-/// know the division.
+/// The offer of this entry to lead a shard next; `None` if it leads, drains, is not registered, or does not know its
+/// configuration or the shard plan.
 pub(super) fn offer_here(
     shared: &NodeShared,
     shard: ShardId,
@@ -98,17 +99,18 @@
     Some(SuccessorOffer { entry, address, start: shared.start, lease })
 }
 
-async fn advise_here(
+async fn ask_own_advisor(
     shared: &NodeShared,
     job: GraphId,
     step: StepKey,
     workers: Vec<WorkerId>,
     time: Duration,
 ) -> Result<AllowedWorkers> {
-    let failed = |reason: String| ErrorObjectOwned::owned(ADVISOR_CODE, reason, None::<()>);
-    let advisor = shared.advisor.as_ref().ok_or_else(|| failed("no advisor is set".to_owned()))?;
+    let advisor_error = |reason: String| ErrorObjectOwned::owned(ADVISOR_CODE, reason, None::<()>);
+    let advisor =
+        shared.advisor.as_ref().ok_or_else(|| advisor_error("no advisor is set".to_owned()))?;
     let allowed = advisor.advise(&job, step, &workers, time).await;
     let allowed = allowed.map_err(|error| format!("{error:?}"));
     shared.dependencies.advisor.tried(DUTY, &allowed);
-    allowed.map_err(failed)
+    allowed.map_err(advisor_error)
 }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! Calls to other entries by JSON-RPC.
+//! JSON-RPC client for calls to other entries.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,27 +25,28 @@
 
 type Result<T> = std::result::Result<T, PeerFailure>;
 
-/// Longest time to make a connection: entries are two milliseconds apart.
-const CONNECT_TIME: Duration = Duration::from_millis(200);
-/// How long an entry that left a call unanswered is taken to be out of reach: callers are told at
-/// once instead of waiting in vain, and one of them tries again after it.
-const SILENT_PAUSE: Duration = Duration::from_millis(250);
-/// Longest time for words on who leads next: entries are two milliseconds apart, and the next candidate is asked after it.
-const OFFER_TIME: Duration = Duration::from_millis(150);
-/// Added to the time of an advisor's answer for the way between entries.
-const WAY_TIME: Duration = Duration::from_millis(200);
+/// Timeout for connecting: the latency between entries is two milliseconds.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// How long an entry that left a call unanswered counts as unreachable: calls to it fail at once instead
+/// of waiting in vain, and after the pause one call is tried again.
+const UNRESPONSIVE_PAUSE: Duration = Duration::from_millis(250);
+/// Timeout for calls of a handover: the latency between entries is two milliseconds, and the next candidate is asked
+/// only after the timeout.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(150);
+/// Added to the advisor's timeout for the transfer between entries.
+const TRANSIT_TIME: Duration = Duration::from_millis(200);
 
 /// How a call to another entry failed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum PeerFailure {
-    /// It surely did not arrive.
+    /// The call certainly did not arrive.
     NotSent,
-    /// It may have arrived.
+    /// The call may have arrived.
     NoAnswer,
 }
 
-/// A JSON-RPC request over HTTP. jsonrpsee's own client cannot tell a connection that was never made
-/// from a call that was not answered, and has no time limit for making one.
+/// A JSON-RPC request over HTTP. jsonrpsee's own client does not distinguish a failed connection from an
+/// unanswered call, and has no timeout for connecting.
 #[derive(Debug)]
 #[derive(Serialize)]
 struct RpcRequest<'c, P> {
@@ -67,17 +68,17 @@
 #[derive(Clone)]
 pub(crate) struct PeerClient {
     client: HttpClient,
-    /// Entries that left the last call unanswered, and when they may be tried again.
-    silent: Arc<Mutex<BTreeMap<SocketAddr, Instant>>>,
+    /// Entries that left their last call unanswered, each with the time of the next try.
+    unresponsive: Arc<Mutex<BTreeMap<SocketAddr, Instant>>>,
 }
 
 impl PeerClient {
     pub(crate) fn new() -> Self {
-        let client = HttpClient::with_connect_time(CONNECT_TIME);
-        Self { client, silent: Arc::default() }
+        let client = HttpClient::with_connect_time(CONNECT_TIMEOUT);
+        Self { client, unresponsive: Arc::default() }
     }
 
-    /// Asks the leader of a shard at an address.
+    /// Sends a call to the leader of a shard at an address.
     pub(crate) async fn ask(
         &self,
         address: SocketAddr,
@@ -88,7 +89,7 @@
         self.request(address, ASK_METHOD, (shard, call), time).await
     }
 
-    /// Has an entry ask for advice.
+    /// Asks another entry to get placement advice from its advisor.
     pub(crate) async fn advise(
         &self,
         address: SocketAddr,
@@ -98,28 +99,28 @@
         time: Duration,
     ) -> std::result::Result<AllowedWorkers, String> {
         let params = (job, step.occurrence, step.step, workers, time);
-        let allowed = self.request(address, ADVISE_METHOD, params, time + WAY_TIME).await;
+        let allowed = self.request(address, ADVISE_METHOD, params, time + TRANSIT_TIME).await;
         allowed.map_err(|failure| format!("{failure:?}"))
     }
 
-    /// Asks an entry whether it can lead a shard after an epoch.
+    /// Asks an entry whether it can lead a shard after the given epoch.
     pub(crate) async fn offer(
         &self,
         address: SocketAddr,
         shard: &ShardId,
         epoch: LeaderEpoch,
     ) -> Result<Option<SuccessorOffer>> {
-        self.request(address, OFFER_METHOD, (shard, epoch), OFFER_TIME).await
+        self.request(address, OFFER_METHOD, (shard, epoch), HANDOVER_TIMEOUT).await
     }
 
-    /// Tells an entry that it leads a shard and that the leader before has ended.
+    /// Tells an entry that it now leads a shard and that the previous leader has ended.
     pub(crate) async fn give(
         &self,
         address: SocketAddr,
         shard: &ShardId,
         term: &LeaderTerm,
     ) -> Result<bool> {
-        self.request(address, GIVE_METHOD, (shard, term), OFFER_TIME).await
+        self.request(address, GIVE_METHOD, (shard, term), HANDOVER_TIMEOUT).await
     }
 
     async fn request<P: Serialize, T: DeserializeOwned>(
@@ -133,7 +134,7 @@
             return Err(PeerFailure::NotSent);
         }
         let result = self.send(address, method, params, time).await;
-        self.note(address, result.is_ok());
+        self.note_result(address, result.is_ok());
         result
     }
 
@@ -163,25 +164,25 @@
         reply.result.ok_or(PeerFailure::NoAnswer)
     }
 
-    /// Whether an entry has answered lately, or is due for another try.
+    /// Whether an entry answered its last call or is due for another try; if it is due, postpones the next try.
     fn may_try(&self, address: SocketAddr) -> bool {
-        let mut silent = self.silent.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut unresponsive = self.unresponsive.lock().unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        match silent.get_mut(&address) {
-            Some(again) if *again > now => false,
-            Some(again) => {
-                *again = now + SILENT_PAUSE;
+        match unresponsive.get_mut(&address) {
+            Some(retry_at) if *retry_at > now => false,
+            Some(retry_at) => {
+                *retry_at = now + UNRESPONSIVE_PAUSE;
                 true
             }
             None => true,
         }
     }
 
-    fn note(&self, address: SocketAddr, answered: bool) {
-        let mut silent = self.silent.lock().unwrap_or_else(PoisonError::into_inner);
+    fn note_result(&self, address: SocketAddr, answered: bool) {
+        let mut unresponsive = self.unresponsive.lock().unwrap_or_else(PoisonError::into_inner);
         match answered {
-            true => silent.remove(&address),
-            false => silent.insert(address, Instant::now() + SILENT_PAUSE),
+            true => unresponsive.remove(&address),
+            false => unresponsive.insert(address, Instant::now() + UNRESPONSIVE_PAUSE),
         };
     }
 }
