--- a/src/node/tests.rs
+++ b/src/node/tests.rs
@@ -1,4 +1,4 @@
-//! What an entry takes itself for while the store or other entries are silent, and what it logs.
+//! Readiness, elections and log events of an entry while the store or other entries do not answer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,8 +28,8 @@
 use crate::node::view::{MemberView, ShardView};
 use crate::ring::ring;
 
-/// The only shard of a deployment that is not divided.
-fn whole() -> ShardId {
+/// The only shard of an undivided deployment.
+fn only_shard() -> ShardId {
     ShardId::from("")
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// An entry that knows its configuration, that there is one shard, and its leader, and has just heard the store.
+/// An entry that knows its configuration, its only shard and that shard's leader, and that just had an answer of the store.
 pub(super) fn entry() -> NodeShared {
     let shared = NodeShared::new(settings());
     let limits = RequestLimits { body_bytes: 1 << 18, head_time: Duration::from_secs(3) };
@@ -71,7 +71,7 @@
     };
     shared.members.send_modify(|view| {
         view.plan = Some(Arc::new(ShardPlan::undivided()));
-        view.shards.entry(whole()).or_default().leader = Some(leader);
+        view.shards.entry(only_shard()).or_default().leader = Some(leader);
     });
     shared.note_store("members");
     shared
@@ -96,7 +96,7 @@
         shared.note_peer();
         expect_true!(shared.ready());
     }
-    // Four seconds without the store: its configuration may be old.
+    // After four seconds without the store the configuration may be outdated.
     for _ in 0..2 {
         advance(Duration::from_millis(900)).await;
         shared.note_peer();
@@ -106,7 +106,7 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_leader_whose_entry_has_started_anew_leads_no_more() {
+async fn a_restarted_entry_is_no_longer_the_leader() {
     let shared = entry();
     let record = |start| EntryRecord {
         address: shared.settings.peers,
@@ -118,19 +118,19 @@
     shared.members.send_modify(|view| {
         view.entries.insert("entry-2".into(), record(7));
     });
-    expect_false!(shared.members.borrow().leaderless(&whole()));
+    expect_false!(shared.members.borrow().leaderless(&only_shard()));
     shared.members.send_modify(|view| {
         view.entries.insert("entry-2".into(), record(8));
     });
-    expect_true!(shared.members.borrow().leaderless(&whole()));
-    // Without a registration its process may go on: its key tells.
+    expect_true!(shared.members.borrow().leaderless(&only_shard()));
+    // Without a registration its process may still run, so the leader's key decides.
     shared.members.send_modify(|view| {
         view.entries.remove("entry-2");
     });
-    expect_false!(shared.members.borrow().leaderless(&whole()));
+    expect_false!(shared.members.borrow().leaderless(&only_shard()));
 }
 
-/// Two failure domains, `a` and `b`, that are a shard each, and some entries.
+/// A deployment with the failure domains `a` and `b`, each a shard, and the given entries.
 pub(super) fn divided(entries: &[(&str, &str, f64)]) -> MemberView {
     let workers = [("a".into(), 150), ("b".into(), 150)].into();
     let record = |domain: &str, processor| EntryRecord {
@@ -152,7 +152,7 @@
 }
 
 #[gtest]
-fn strong_entries_of_the_domain_stand_first_and_leaders_of_other_shards_last() {
+fn strong_entries_of_the_domain_campaign_first_and_leaders_of_other_shards_last() {
     let entries = [
         ("e1", "a", 0.12),
         ("e2", "a", 0.5),
@@ -176,10 +176,10 @@
     expect_that!(ranks(&view), eq([2, 4, 0, 1, 3]));
 }
 
-// A machine of an eighth of a core that was elected while the strong ones were away is given more than it can do,
-// and keeps on as it does much of it: it goes once a strong one is there.
+// A machine with an eighth of a core that was elected while the strong ones were away is overloaded, but not detected
+// as slow, as it handles many inputs. It has to step down once a strong machine is available.
 #[gtest]
-fn a_weak_leader_finds_that_a_stronger_machine_leads_nothing() {
+fn a_weak_leader_detects_a_stronger_machine_that_leads_no_shard() {
     let mut view = divided(&[("e1", "a", 0.12), ("e2", "a", 0.12)]);
     expect_false!(view.has_stronger(&"e1".into()));
     view.entries.extend(divided(&[("e3", "b", 0.5)]).entries);
@@ -191,8 +191,8 @@
     expect_false!(view.has_stronger(&"e1".into()));
 }
 
-// All entries had ended, or a store that was back had dropped their registrations: a machine of an eighth of a core
-// registered first, was elected and read 2,100 jobs for 14 s while nothing was taken.
+// When all entries restart, or a restored store has dropped their registrations, the first to register may be a machine
+// with an eighth of a core. Such a machine was elected and took 14 s to read 2,100 jobs, while no job was accepted.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_weak_machine_waits_for_a_strong_one_that_was_seen_before() {
@@ -202,7 +202,7 @@
     view.best = 0.5;
     expect_that!(candidacy.turn(&view), gt(Instant::now() + Duration::from_secs(1)));
     advance(Duration::from_secs(1)).await;
-    // The strong one is there: it goes first, and the weak one is still ready to go if that does not.
+    // Once the strong machine is registered, the weak one waits only for its rank.
     view.entries.extend(divided(&[("e2", "a", 0.5)]).entries);
     expect_that!(candidacy.turn(&view), gt(Instant::now() + Duration::from_millis(60)));
     expect_that!(candidacy.turn(&view), lt(Instant::now() + Duration::from_secs(1)));
@@ -210,33 +210,34 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_weak_machine_does_not_wait_for_good() {
+async fn a_weak_machine_waits_for_a_limited_time() {
     let mut view = divided(&[("entry-1", "a", 0.12)]);
     let mut candidacy = Candidacy::new(Arc::new(entry()), "a".into());
     view.best = 0.5;
     candidacy.turn(&view);
     advance(Duration::from_secs(2)).await;
     expect_that!(candidacy.turn(&view), le(Instant::now()));
-    // After an election without it, it is not waited for again.
+    // After an election without the strong machine, it is not waited for again.
     view.best = view.best_registered();
     candidacy.rest();
     expect_that!(candidacy.turn(&view), lt(Instant::now() + Duration::from_millis(200)));
 }
 
 #[gtest]
-fn the_best_machine_is_known_from_the_last_election() {
+fn the_best_machine_is_read_from_the_last_election() {
     let mut view = MemberView::default();
     let record = EpochRecord { epoch: 4, holder: None, best: 0.5 };
     let value = Bytes::from(serde_json::to_vec(&record).unwrap());
-    written(&mut view, &KeyItem { key: epoch_key(&whole()), value, revision: 9 });
+    written(&mut view, &KeyItem { key: epoch_key(&only_shard()), value, revision: 9 });
     expect_that!(view.best, eq(0.5));
 }
 
-// While a failure domain was cut off, entries of the others waited for it. When it was back, their turn had long
-// come: one took its shard, and all leaders took the time since for the lateness of their timers and stepped down.
+// While a failure domain was cut off, the entries of the others waited for it. When it was reconnected, the waiting time
+// of the others was over: one of them took the shard, and all leaders counted that time as lateness of their timers and
+// stepped down.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_failure_domain_that_is_back_has_its_turn_first() {
+async fn a_reconnected_failure_domain_campaigns_first() {
     let mut view = divided(&[("entry-1", "a", 0.25)]);
     let mut candidacy = Candidacy::new(Arc::new(entry()), "b".into());
     expect_that!(candidacy.turn(&view), gt(Instant::now() + Duration::from_secs(5)));
@@ -246,128 +247,128 @@
     expect_that!(candidacy.turn(&view), gt(Instant::now()));
 }
 
-/// Timers of `late` for three seconds, with so many inputs a second.
-async fn late_timers(rule: &mut LatenessMonitor, late: Duration, inputs: u64) {
+/// Records timers that are late by `late` for three seconds, at a rate of `inputs` per second.
+async fn note_late_timers(monitor: &mut LatenessMonitor, late: Duration, inputs: u64) {
     let mut taken = 0;
     for _ in 0..10 {
         advance(Duration::from_millis(300)).await;
         taken += inputs * 3 / 10;
-        rule.note(late, taken);
+        monitor.note(late, taken);
     }
 }
 
-// Nine entries in turn took themselves for too slow while each was given more than any machine can do.
+// Nine entries in turn stepped down as too slow although each had more load than any machine can handle.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_is_late_with_much_done_is_not_slow() {
+async fn a_late_leader_with_high_throughput_is_not_slow() {
     for (late, inputs, slow) in [(60, 100, true), (60, 1_200, false), (5, 100, false)] {
-        let mut rule = LatenessMonitor::new();
-        late_timers(&mut rule, Duration::from_millis(late), inputs).await;
-        expect_that!(rule.is_slow(0.5), eq(slow), "{late} ms with {inputs} inputs a second");
+        let mut monitor = LatenessMonitor::new();
+        note_late_timers(&mut monitor, Duration::from_millis(late), inputs).await;
+        expect_that!(monitor.is_slow(0.5), eq(slow), "{late} ms with {inputs} inputs a second");
     }
 }
 
-/// Lines of a store that refuses two duties each 100 ms for a time.
-async fn refuse(rule: &mut DependencyMonitor, time: Duration) -> Vec<DependencyEvent> {
-    let mut lines = Vec::new();
+/// Events of a store that refuses calls of two loops every 100 ms for `time`.
+async fn fail_two_loops(monitor: &mut DependencyMonitor, time: Duration) -> Vec<DependencyEvent> {
+    let mut events = Vec::new();
     let end = Instant::now() + time;
     while Instant::now() < end {
-        lines.extend(rule.failed("members", RetryMode::Steady, "refused".to_owned()));
-        lines.extend(rule.failed("election", RetryMode::Steady, "refused".to_owned()));
+        events.extend(monitor.failed("members", RetryMode::Steady, "refused".to_owned()));
+        events.extend(monitor.failed("election", RetryMode::Steady, "refused".to_owned()));
         advance(Duration::from_millis(100)).await;
     }
-    lines
+    events
 }
 
-// While the store refused connections, each duty logged each try: 28 lines a second of one process, and
-// none when the store was back.
+// While the store refused connections, each loop logged each try: 28 lines a second in one process, and
+// none when the store was reachable again.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_lost_dependency_is_a_line_a_second() {
-    let mut rule = DependencyMonitor::default();
-    expect_that!(rule.answered("members"), none());
+async fn a_lost_dependency_logs_one_line_a_second() {
+    let mut monitor = DependencyMonitor::default();
+    expect_that!(monitor.answered("members"), none());
     advance(Duration::from_millis(250)).await;
-    let lines = refuse(&mut rule, Duration::from_millis(9_050)).await;
+    let events = fail_two_loops(&mut monitor, Duration::from_millis(9_050)).await;
     let lost = DependencyEvent::Lost {
         duty: "members".to_owned(),
         failure: "refused".to_owned(),
         answer_age: Some(Duration::from_millis(250)),
         short_losses: 0,
     };
-    expect_that!(lines.first(), some(eq(&lost)));
+    expect_that!(events.first(), some(eq(&lost)));
     let still = DependencyEvent::StillLost {
         duties: vec!["election".to_owned(), "members".to_owned()],
         failure: "refused".to_owned(),
         away: Duration::from_secs(9),
         tries_failed: 181,
     };
-    expect_that!(lines.last(), some(eq(&still)));
-    expect_that!(lines.len(), eq(10));
-    expect_that!(rule.answered("election"), none());
+    expect_that!(events.last(), some(eq(&still)));
+    expect_that!(events.len(), eq(10));
+    expect_that!(monitor.answered("election"), none());
     let away = Duration::from_millis(9_100);
     let back = DependencyEvent::Back { away, tries_failed: 182 };
-    expect_that!(rule.answered("members"), some(eq(&back)));
-    expect_that!(rule.is_lost(), eq(false));
+    expect_that!(monitor.answered("members"), some(eq(&back)));
+    expect_that!(monitor.is_lost(), eq(false));
 }
 
-// A duty may end while its last try has failed: the group that the store refused is given up, or the entry
-// leads no more. The loss ends without an answer to it.
+// A loop may end after a failed try, as the refused group was given up or the entry no longer leads. The loss
+// then ends without an answer to that loop.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_loss_ends_with_the_duty_that_suffered_from_it() {
-    let mut rule = DependencyMonitor::default();
-    expect_that!(rule.failed("ledger", RetryMode::OnDemand, "503".to_owned()), some(anything()));
+async fn a_loss_ends_when_the_failing_loop_ends() {
+    let mut monitor = DependencyMonitor::default();
+    expect_that!(monitor.failed("ledger", RetryMode::OnDemand, "503".to_owned()), some(anything()));
     advance(Duration::from_millis(200)).await;
-    expect_that!(rule.failed("members", RetryMode::Steady, "503".to_owned()), none());
+    expect_that!(monitor.failed("members", RetryMode::Steady, "503".to_owned()), none());
     advance(Duration::from_millis(300)).await;
-    expect_that!(rule.answered("members"), none());
+    expect_that!(monitor.answered("members"), none());
     advance(Duration::from_millis(400)).await;
-    expect_that!(rule.look(), none());
+    expect_that!(monitor.look(), none());
     advance(Duration::from_millis(200)).await;
     let away = Duration::from_millis(500);
     let back = DependencyEvent::Back { away, tries_failed: 2 };
-    expect_that!(rule.look(), some(eq(&back)));
+    expect_that!(monitor.look(), some(eq(&back)));
 
-    expect_that!(rule.failed("members", RetryMode::Steady, "503".to_owned()), none());
+    expect_that!(monitor.failed("members", RetryMode::Steady, "503".to_owned()), none());
     advance(Duration::from_millis(3_000)).await;
-    expect_that!(rule.look(), none());
+    expect_that!(monitor.look(), none());
     advance(Duration::from_millis(600)).await;
-    expect_that!(rule.look(), none());
-    expect_that!(rule.is_lost(), eq(false));
+    expect_that!(monitor.look(), none());
+    expect_that!(monitor.is_lost(), eq(false));
 }
 
-// A store that fails every other call would be lost and back many times a second.
+// A store that fails every other call is lost and back many times a second, which must not be logged each time.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_dependency_that_comes_and_goes_is_two_lines_a_second() {
-    let mut rule = DependencyMonitor::default();
-    let mut lines = Vec::new();
+async fn a_flapping_dependency_logs_two_lines_a_second() {
+    let mut monitor = DependencyMonitor::default();
+    let mut events = Vec::new();
     for _ in 0..100 {
-        lines.extend(rule.failed("election", RetryMode::Steady, "503".to_owned()));
+        events.extend(monitor.failed("election", RetryMode::Steady, "503".to_owned()));
         advance(Duration::from_millis(50)).await;
-        lines.extend(rule.answered("election"));
+        events.extend(monitor.answered("election"));
         advance(Duration::from_millis(50)).await;
     }
-    expect_that!(lines.len(), le(20));
-    let told = |line: &DependencyEvent| match line {
+    expect_that!(events.len(), le(20));
+    let losses = |event: &DependencyEvent| match event {
         DependencyEvent::Lost { short_losses, .. } => 1 + short_losses,
         DependencyEvent::StillLost { .. } | DependencyEvent::Back { .. } => 0,
     };
-    expect_that!(lines.iter().map(told).sum::<u64>(), ge(90));
+    expect_that!(events.iter().map(losses).sum::<u64>(), ge(90));
 }
 
-/// An unreadable count of elections was taken for none: the next leader had epoch 1, below or equal to
-/// that of the one before, and took that one for ended. Each election raises the store's revision, so
-/// that the key's own is at least as high as any epoch.
+/// An unreadable epoch record was treated as missing: the next leader had epoch 1, which is not above that of
+/// its predecessor, and considered the predecessor ended. Each election raises the store's revision, so the
+/// revision of the key is at least as high as any epoch.
 #[gtest]
-fn an_unreadable_count_of_elections_is_taken_for_a_high_one() {
+fn an_unreadable_epoch_record_yields_a_high_epoch() {
     let holder = ("entry-2".into(), 7);
     let led = ShardView { epoch: 5, holder: Some(holder), ..ShardView::default() };
-    let before = MemberView { shards: [(whole(), led)].into(), ..MemberView::default() };
+    let before = MemberView { shards: [(only_shard(), led)].into(), ..MemberView::default() };
     for mut view in [before, MemberView::default()] {
         let value = Bytes::from("no json");
-        written(&mut view, &KeyItem { key: epoch_key(&whole()), value, revision: 40 });
-        let led = view.shard(&whole());
+        written(&mut view, &KeyItem { key: epoch_key(&only_shard()), value, revision: 40 });
+        let led = view.shard(&only_shard());
         expect_that!(led.epoch, eq(40));
         expect_that!(led.epoch_revision, eq(40));
         let holder = led.holder;
@@ -377,7 +378,7 @@
 }
 
 #[gtest]
-fn an_unreadable_entry_takes_no_other_away() {
+fn an_unreadable_entry_record_removes_no_other_entry() {
     let mut view = MemberView::default();
     let record = r#"{"address":"127.0.0.1:9","domain":"a","start":7,"processor":0.25}"#;
     for (name, value) in [("e1", record), ("e2", "no json"), ("e3", record), ("e1", "[]")] {
@@ -389,38 +390,38 @@
     expect_that!(names, eq(&vec!["e1", "e3"]));
 }
 
-// A caller asks for a job's state right after its last task has ended, when its verdict is on the way to the store.
-// Told that the job runs on, it came back 0.2 s later on the median.
+// A caller may ask for a job's state right after the last task has ended, while the verdict is being stored. With the
+// answer that the job still ran, it asked again 0.2 s later on the median.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_question_for_a_state_waits_for_the_verdict_that_is_being_stored() {
+async fn a_state_query_waits_for_a_verdict_that_is_being_stored() {
     let (now, job) = (Instant::now(), GraphId::from("a"));
     let ending = StateUpdate::Ending(GraphState::Running);
     let stored = StateUpdate::Final(GraphState::Completed);
-    let mut desk = StateQueries::default();
+    let mut queries = StateQueries::default();
 
     let (answer, mut answered) = oneshot::channel();
-    desk.ask(now, job.clone(), StateUpdate::Final(GraphState::Running), answer);
+    queries.answer_or_wait(now, job.clone(), StateUpdate::Final(GraphState::Running), answer);
     expect_that!(answered.try_recv(), ok(eq(&LeaderAnswer::State(GraphState::Running))));
 
     let (answer, mut answered) = oneshot::channel();
-    desk.ask(now, job.clone(), ending, answer);
-    desk.answer(now + Duration::from_millis(20), |_| ending);
+    queries.answer_or_wait(now, job.clone(), ending, answer);
+    queries.answer_waiting(now + Duration::from_millis(20), |_| ending);
     expect_that!(answered.try_recv(), err(anything()));
-    desk.answer(now + Duration::from_millis(21), |_| stored);
+    queries.answer_waiting(now + Duration::from_millis(21), |_| stored);
     expect_that!(answered.try_recv(), ok(eq(&LeaderAnswer::State(GraphState::Completed))));
 
-    // The store is away: what it has is told.
+    // While the store does not answer, the state that it last stored is reported.
     let (answer, mut answered) = oneshot::channel();
-    desk.ask(now, job, ending, answer);
-    desk.answer(now + Duration::from_millis(300), |_| ending);
+    queries.answer_or_wait(now, job, ending, answer);
+    queries.answer_waiting(now + Duration::from_millis(300), |_| ending);
     expect_that!(answered.try_recv(), ok(eq(&LeaderAnswer::State(GraphState::Running))));
 }
 
-// Entries are stopped in turn: one that has been started again will not be stopped soon, and a leader that was handed to
-// the next in turn was handed on two seconds later.
+// In a rolling restart, an entry that has restarted will not be stopped again soon. Leadership that was handed to the
+// next entry in order had to be handed over again two seconds later.
 #[gtest]
-fn leadership_is_handed_to_a_strong_entry_that_was_started_last() {
+fn leadership_is_handed_to_the_strong_entry_that_started_last() {
     let address = |host: &str| format!("127.0.0.{host}:9").parse().unwrap();
     let record = |host, processor, revision| EntryRecord {
         address: address(host),
@@ -436,17 +437,17 @@
         ("e4".into(), record("4", 0.05, 12)),
     ];
     let view = MemberView { entries: entries.into(), known: true, ..MemberView::default() };
-    let order = view.successors(&whole(), &"e1".into());
+    let order = view.successors(&only_shard(), &"e1".into());
     expect_that!(order, eq(&["2", "3", "4"].map(address).to_vec()));
 }
 
-// The store names this entry before the leader before has ended. It leads once it is told so, or, where that leader is
-// lost before it says so, after a while as after any election.
+// The store names the successor before its predecessor has ended. The successor leads once the predecessor reports its
+// end or, if the predecessor is lost before that, after a timeout as after any election.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_named_entry_waits_for_the_word_of_the_leader_before() {
+async fn a_named_successor_waits_for_the_end_of_its_predecessor() {
     let shared = Arc::new(entry());
-    let candidacy = Candidacy::new(shared.clone(), whole());
+    let candidacy = Candidacy::new(shared.clone(), only_shard());
     let own = LeaderRecord {
         entry: shared.settings.name.clone(),
         address: shared.settings.peers,
@@ -455,40 +456,40 @@
     };
     let mut view = MemberView { known: true, ..MemberView::default() };
     let led = ShardView { leader: Some(own), epoch: 5, ..ShardView::default() };
-    view.shards.insert(whole(), led);
+    view.shards.insert(only_shard(), led);
     shared.handover_inbox.set_lease(Some(3));
-    expect_that!(shared.handover_inbox.name(whole(), 4), some(eq(3)));
+    expect_that!(shared.handover_inbox.name(only_shard(), 4), some(eq(3)));
     expect_that!(matches!(candidacy.standing(&view, true), CandidacyState::Unchanged), eq(true));
     advance(Duration::from_millis(1_600)).await;
     expect_that!(matches!(candidacy.standing(&view, true), CandidacyState::Won(_)), eq(true));
-    // One that leaves is not named.
+    // An entry that leaves has no lease and is not named.
     shared.handover_inbox.set_lease(None);
-    expect_that!(shared.handover_inbox.name(whole(), 5), none());
+    expect_that!(shared.handover_inbox.name(only_shard(), 5), none());
 }
 
-// A failure domain was cut off with the leader in it. Its entries heard that leader, which could store nothing, took
-// themselves for able to serve, and refused their callers for as long as the cut lasted.
+// A failure domain was cut off together with the leader. Its entries still reached that leader, which could not store
+// anything, so they stayed ready and refused their callers for as long as the partition lasted.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_leader_that_is_cut_off_does_not_vouch_for_its_domain() {
+async fn a_cut_off_leader_does_not_answer_as_leading() {
     let shared = entry();
     let (input, _receiver) = ring("leader", 4);
-    shared.set_leading(&whole(), Some(input));
-    let shard = whole();
+    shared.set_leading(&only_shard(), Some(input));
+    let shard = only_shard();
     let reach = || ask_here(&shared, &shard, LeaderCall::Reach);
     expect_that!(reach().await, some(eq(&LeaderAnswer::Leading)));
     advance(Duration::from_millis(1_100)).await;
     expect_that!(reach().await, some(eq(&LeaderAnswer::NotLeading)));
-    // Another failure domain answers it: only the store is away.
+    // Another failure domain answers: only the store is unavailable.
     shared.note_peer();
     expect_that!(reach().await, some(eq(&LeaderAnswer::Leading)));
 }
 
-// An entry whose leadership had ended under it, as another was elected, found its timers late and handed leadership on:
-// on the condition of the other's epoch, which it knew from the store. The next leader took the other for ended, and on
-// one hunted day 8 tasks ran in two places.
+// A leader that had been replaced without noticing detected that its timers were late and handed leadership over, with
+// the epoch of the new leader, known from the store, as the condition. The named successor considered the new leader
+// ended, and in one test run 8 tasks ran in two places.
 #[gtest]
-fn a_leader_that_was_succeeded_names_no_successor() {
+fn a_replaced_leader_names_no_successor() {
     let led = ShardView { epoch: 2, epoch_revision: 40, ..ShardView::default() };
     let offer = SuccessorOffer {
         entry: "e3".into(),
@@ -496,15 +497,15 @@
         start: 7,
         lease: 3,
     };
-    let change = |epoch| succession_change(&whole(), &led, epoch, Some(&offer), None, 0.25);
+    let change = |epoch| succession_change(&only_shard(), &led, epoch, Some(&offer), None, 0.25);
     expect_that!(change(1).is_none(), eq(true));
     let own = change(2).unwrap();
-    expect_that!(own.conditions, eq(&vec![(epoch_key(&whole()), 40)]));
+    expect_that!(own.conditions, eq(&vec![(epoch_key(&only_shard()), 40)]));
     expect_that!(
         own.writes.iter().map(|set| set.lease).collect::<Vec<_>>(),
         eq(&vec![Some(3), None])
     );
-    // Without a successor the choice is left to an election.
-    let left = succession_change(&whole(), &led, 2, None, None, 0.25).unwrap();
-    expect_that!(left.removes, eq(&vec![leader_key(&whole())]));
+    // Without a named successor, the leader's key is removed and an election follows.
+    let left = succession_change(&only_shard(), &led, 2, None, None, 0.25).unwrap();
+    expect_that!(left.removes, eq(&vec![leader_key(&only_shard())]));
 }
