--- a/src/node/callers.rs
+++ b/src/node/callers.rs
@@ -122,25 +122,23 @@
         let host_header = match (hosts.next(), hosts.next()) {
             (None, _) if self.version < Version::HTTP_11 => return Ok(()),
             (Some(host), None) => host,
-            _ => return Err(malformed("exactly one host is expected")),
+            _ => return Err(malformed("one host is expected")),
         };
         if host_header.is_empty() && self.uri.authority().is_none() {
             return Ok(());
         }
         let Ok(host_header) = Authority::try_from(host_header.as_bytes()) else {
-            return Err(malformed("the host is not valid"));
+            return Err(malformed("the host is none"));
         };
         match self.uri.authority() {
-            Some(target) if *target != host_header => {
-                Err(malformed("the request target names another host"))
-            }
+            Some(target) if *target != host_header => Err(malformed("the target has another host")),
             _ => Ok(()),
         }
     }
 
     fn check_caller_timeout(&self) -> Result<()> {
         let bad_request =
-            |detail| ProblemDetails::new(StatusCode::BAD_REQUEST, "invalid caller timeout", detail);
+            |detail| ProblemDetails::new(StatusCode::BAD_REQUEST, "no such time", detail);
         decode_caller_timeout(self.headers)
             .map(|_| ())
             .map_err(|detail| bad_request(detail).ran(RunState::No))
@@ -163,7 +161,7 @@
         match (request.method, name) {
             (&Method::GET, "") => self.pending(request, queue).await,
             (&Method::GET | &Method::DELETE, name) if !name.is_empty() && !is_job_name(name) => {
-                Err(gone("the job name is not valid"))
+                Err(gone("no job has such a name"))
             }
             (&Method::GET, name) => self.state(request, name).await,
             (&Method::POST, name) if !name.is_empty() => {
@@ -171,9 +169,7 @@
                 self.submit(request, queue, name, &body).await
             }
             (&Method::DELETE, name) if !name.is_empty() => self.cancel(request, name).await,
-            _ => {
-                Err(ProblemDetails::new(StatusCode::METHOD_NOT_ALLOWED, "method not allowed", path))
-            }
+            _ => Err(ProblemDetails::new(StatusCode::METHOD_NOT_ALLOWED, "not here", path)),
         }
     }
 
@@ -195,7 +191,7 @@
     ) -> Result<Response<Body>> {
         let spec = decode_job(&queue.id, name, body, unix_millis()).map_err(|errors| {
             let status = StatusCode::BAD_REQUEST;
-            ProblemDetails::new(status, "invalid job", errors.join("; ")).ran(RunState::No)
+            ProblemDetails::new(status, "no such job can be", errors.join("; ")).ran(RunState::No)
         })?;
         let record = GraphRecord { spec, rule: (**queue).clone(), home: None, share: None };
         let caller_timeout = request.caller_timeout();
@@ -203,7 +199,7 @@
         let submission = JobSubmission { attempt, caller_timeout, forced: false, record };
         match self.leader_client.submit(submission, caller_timeout).await {
             Ok(LeaderAnswer::Rejected(retry)) => {
-                Err(unavailable("the job could not be accepted").retry_after(retry))
+                Err(unavailable("the job could not be taken").retry_after(retry))
             }
             Ok(LeaderAnswer::NotLeading | LeaderAnswer::Elsewhere(_))
             | Err(LeaderCallError::NotTaken) => Err(unavailable("no leader can be reached")),
@@ -267,11 +263,11 @@
     match timeout(BODY_TIMEOUT, Limited::new(body, limit).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(too_large()),
-        Ok(Err(_)) => Err(malformed("the body is incomplete")),
+        Ok(Err(_)) => Err(malformed("the body is not whole")),
         Err(_) => {
-            let detail = format!("incomplete after {BODY_TIMEOUT:?}");
+            let detail = format!("not whole after {BODY_TIMEOUT:?}");
             let status = StatusCode::REQUEST_TIMEOUT;
-            Err(ProblemDetails::new(status, "the body took too long", detail).closing())
+            Err(ProblemDetails::new(status, "the body is late", detail).closing())
         }
     }
 }
