--- a/src/node/candidacy.rs
+++ b/src/node/candidacy.rs
@@ -1,4 +1,4 @@
-//! This process as the leader of one shard, or as one that may become it.
+//! This process as leader of one shard, or as candidate for it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,66 +16,67 @@
 use crate::node::view::MemberView;
 use crate::ring::{RingSender, ring};
 
-/// Head start of the entry that led last, and of each entry before the next in rank.
+/// Delay between consecutive ranks: each entry campaigns this much later than the one ranked before it.
 const RANK_PAUSE: Duration = Duration::from_millis(60);
-/// Entries between which that makes a difference; all others stand together.
+/// Number of ranks with a delay of their own; all later entries campaign at the same time.
 const RANKED_ENTRIES: u32 = 20;
-/// Head start of a failure domain none of whose entries is registered: it is cut off, for 5 to 7 s on our
-/// users' deployments, and its leader goes on with all that it knows when it is back.
-const CUT_PAUSE: Duration = Duration::from_millis(7_000);
-/// How long a weak machine waits for a strong one that was seen before: entries that all start anew, or whose
-/// registrations have lapsed, register within a second of each other, and a weak one needs many to read the jobs.
-const STRONG_PAUSE: Duration = Duration::from_millis(1_500);
-/// Places in the ring to the leader's duty.
-const LEADER_RING: usize = 8_192;
+/// Delay of the other failure domains while no entry of the shard's own domain is registered. The domain is then cut off,
+/// for 5 to 7 s on users' deployments, and its leader resumes with its state in memory once it is reachable again.
+const CUT_OFF_PAUSE: Duration = Duration::from_millis(7_000);
+/// Delay of weak machines while a strong one that was seen before is not registered. Entries that all restart, or whose
+/// registrations have expired, register within a second of each other, and a weak machine needs many seconds to read the
+/// jobs.
+const STRONG_MACHINE_PAUSE: Duration = Duration::from_millis(1_500);
+/// Capacity of the input ring of the leader loop.
+const LEADER_RING_SIZE: usize = 8_192;
 
-/// This process as the leader.
+/// A running leader loop of this process.
 struct Leadership {
     epoch: LeaderEpoch,
-    /// Whether the lease that held the leader's key has ended.
-    lapsed: bool,
-    /// Whether a change that ends its term was sent and not answered: the lease may stand and the leader's key not.
+    /// Whether the lease of the leader key has ended.
+    lease_ended: bool,
+    /// Whether a transaction that ends the term got no answer: the leader key may be gone although the lease is valid.
     in_doubt: bool,
     input: RingSender<LeaderInput>,
     task: JoinHandle<()>,
 }
 
-/// What the store says of this process in a shard.
+/// State of this process's candidacy for a shard according to the store.
 pub(crate) enum CandidacyState {
-    /// Nothing that it does not know.
+    /// The store agrees with the local state.
     Unchanged,
-    /// Another leads.
-    Succeeded,
-    /// It was elected by a call without an answer.
+    /// Another entry leads.
+    Superseded,
+    /// This process won an election whose answer was lost.
     Won(LeaderTerm),
-    /// Its duty has ended by itself.
-    BrokenOff,
-    /// Its term is over here, and its key still stands.
-    Abandoned,
+    /// The leader loop has ended by itself.
+    LoopEnded,
+    /// The term has ended here, but its leader key still exists.
+    KeyLeft,
 }
 
-/// Whom an entry that could stand lets go first.
+/// Entries that may campaign first while this one waits.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum AwaitedEntry {
-    /// Those of a failure domain that is cut off.
+    /// Entries of a failure domain that is cut off.
     OfDomain,
-    /// A strong machine, as none is registered.
+    /// A strong machine: none is registered.
     Strong,
-    /// Those that go before by rank.
+    /// Entries that rank before this one.
     Ranked,
 }
 
-/// This process in one shard.
+/// Leadership or candidacy of this process in one shard.
 pub(crate) struct Candidacy {
     pub(crate) shard: ShardId,
-    /// Since when it could stand, and what for.
+    /// Since when this process may campaign, and which entries it waits for.
     waiting: Option<(Instant, AwaitedEntry)>,
     shared: Arc<NodeShared>,
     leadership: Option<Leadership>,
-    /// Latest epoch that this process has led under: it is not led under again.
+    /// Latest epoch that this process has led under; it never begins a term of this or an earlier epoch.
     last_epoch: LeaderEpoch,
     led_since: Option<Instant>,
-    /// Who led before it.
+    /// Leader of the previous term: entry and start.
     predecessor: Option<(EntryId, u64)>,
 }
 
@@ -96,53 +97,57 @@
         self.leadership.is_some()
     }
 
-    /// Whether it has led for longer than a time.
+    /// Whether this process has led for longer than `time`.
     pub(crate) fn leads_for(&self, time: Duration) -> bool {
         self.leads() && self.led_since.is_some_and(|since| since.elapsed() > time)
     }
 
-    /// Whether it has led under an epoch.
+    /// Whether this process has led under `epoch` or a later one.
     pub(crate) fn has_led(&self, epoch: LeaderEpoch) -> bool {
         self.last_epoch >= epoch
     }
 
-    /// Epoch that it leads under.
+    /// The epoch this process leads under.
     pub(crate) fn epoch(&self) -> Option<LeaderEpoch> {
         self.leadership.as_ref().map(|leadership| leadership.epoch)
     }
 
-    /// Who may still go on once this process has ended: the leader before it, unless that has ended or this one has
-    /// led for longer than that could go on.
-    pub(crate) fn still_going(&self, view: &MemberView) -> Option<(EntryId, u64)> {
+    /// The leader of the previous term, if it may still be running. `None` if its process has ended, or if this process
+    /// has led for longer than that leader could continue.
+    pub(crate) fn running_predecessor(&self, view: &MemberView) -> Option<(EntryId, u64)> {
         let bounds = self.shared.settings.bounds;
-        let long = self.leads_for(bounds.lease_extension_window + bounds.longest_lease);
-        self.predecessor.clone().filter(|_| !long && !view.has_ended(&self.predecessor))
+        let outlasted_predecessor =
+            self.leads_for(bounds.lease_extension_window + bounds.longest_lease);
+        self.predecessor
+            .clone()
+            .filter(|_| !outlasted_predecessor && !view.has_ended(&self.predecessor))
     }
 
-    /// The lease in the store was renewed, or made, by a call sent then. A new lease says nothing of a leader that was
-    /// elected under the one before: another may have been elected in between.
+    /// Records that a call sent at `sent` renewed or created the lease in the store. A new lease does not extend the term
+    /// of a leader elected under the previous one: another may have been elected in between.
     pub(crate) fn note_renewal(&self, sent: Instant) {
-        let sure = |own: &&Leadership| !own.lapsed && !own.in_doubt;
-        if let Some(leadership) = self.leadership.as_ref().filter(sure) {
+        let is_current = |own: &&Leadership| !own.lease_ended && !own.in_doubt;
+        if let Some(leadership) = self.leadership.as_ref().filter(is_current) {
             let _ = leadership.input.offer(LeaderInput::Renewed(sent));
         }
     }
 
-    /// The lease in the store has ended.
+    /// Records that the lease in the store has ended.
     pub(crate) fn note_lease_expiry(&mut self) {
         if let Some(leadership) = &mut self.leadership {
-            leadership.lapsed = true;
+            leadership.lease_ended = true;
         }
     }
 
-    /// Whether it is not known if its term has ended.
+    /// Whether the term may already have ended in the store.
     pub(crate) fn in_doubt(&self) -> bool {
         self.leadership.as_ref().is_some_and(|leadership| leadership.in_doubt)
     }
 
-    /// A change that ends its term was not answered, and may still be carried out. `expected` tells whether the next leader
-    /// reckons with this one going on; it does where it was named and has not been told otherwise.
-    pub(crate) fn doubt(&mut self, expected: bool) {
+    /// Records that a transaction that ends the term got no answer and may still take effect. `expected` is whether the
+    /// next leader assumes that this one is still running, which holds for a recorded successor that has not been
+    /// notified.
+    pub(crate) fn mark_in_doubt(&mut self, expected: bool) {
         if let Some(leadership) = &mut self.leadership {
             warn!(shard = &*self.shard, epoch = leadership.epoch, expected; "the term is in doubt");
             leadership.in_doubt = true;
@@ -150,14 +155,15 @@
         }
     }
 
-    /// What the store says of this process; `registered` tells whether it has a lease there.
+    /// Returns the state of this candidacy according to the store. `registered` is whether this entry holds a lease.
     pub(crate) fn standing(&self, view: &MemberView, registered: bool) -> CandidacyState {
-        let led = view.shard(&self.shard);
-        let mine = led.leader.as_ref().filter(|leader| leader.start == self.shared.start);
-        match (&self.leadership, mine) {
-            (Some(own), None) if led.epoch > own.epoch => {
-                warn!(shard = &*self.shard, epoch = own.epoch, later = led.epoch; "another leads");
-                CandidacyState::Succeeded
+        let shard_view = view.shard(&self.shard);
+        let own_record =
+            shard_view.leader.as_ref().filter(|leader| leader.start == self.shared.start);
+        match (&self.leadership, own_record) {
+            (Some(own), None) if shard_view.epoch > own.epoch => {
+                warn!(shard = &*self.shard, epoch = own.epoch, later = shard_view.epoch; "another leads");
+                CandidacyState::Superseded
             }
             (None, Some(leader))
                 if self.shared.handover_inbox.awaits_term(&self.shard, leader.epoch) =>
@@ -165,30 +171,33 @@
                 CandidacyState::Unchanged
             }
             (None, Some(leader))
-                if leader.epoch == led.epoch && leader.epoch > self.last_epoch && registered =>
+                if leader.epoch == shard_view.epoch
+                    && leader.epoch > self.last_epoch
+                    && registered =>
             {
-                // Who led before is not known any more: it is taken to go on for as long as it may.
+                // The previous leader is unknown by now, so it is assumed to run for as long as it possibly can.
                 let predecessor = Some(unknown_leader());
-                let (epoch, epoch_revision) = (leader.epoch, led.epoch_revision);
+                let (epoch, epoch_revision) = (leader.epoch, shard_view.epoch_revision);
                 CandidacyState::Won(LeaderTerm { epoch, epoch_revision, predecessor })
             }
             (None, Some(leader))
-                if leader.epoch == led.epoch && leader.epoch <= self.last_epoch =>
+                if leader.epoch == shard_view.epoch && leader.epoch <= self.last_epoch =>
             {
-                CandidacyState::Abandoned
+                CandidacyState::KeyLeft
             }
-            (Some(own), _) if own.task.is_finished() => CandidacyState::BrokenOff,
+            (Some(own), _) if own.task.is_finished() => CandidacyState::LoopEnded,
             _ => CandidacyState::Unchanged,
         }
     }
 
-    /// It cannot stand now.
+    /// Resets the waiting time: this process may not campaign now.
     pub(crate) fn rest(&mut self) {
         self.waiting = None;
     }
 
-    /// When it stands, if nobody else does before. Whoever it waited for has its turn first again once it is back:
-    /// reckoned from before, the turn of all others had come, and a domain that was back lost its leader.
+    /// Returns when this process campaigns if no other entry does so earlier. The time starts over when the awaited
+    /// entries change: counted from the first wait, all others' turns had already come when a cut-off domain was
+    /// reachable again, and that domain lost its leader.
     pub(crate) fn turn(&mut self, view: &MemberView) -> Instant {
         let awaited = self.awaited(view);
         let before = self.waiting.filter(|(_, before)| *before == awaited);
@@ -205,7 +214,7 @@
         }
     }
 
-    /// How long it waits before it stands: who led last goes first, then by rank.
+    /// Returns the delay before this process campaigns: none for the last leader, then by rank.
     fn pause(&self, view: &MemberView, awaited: AwaitedEntry) -> Duration {
         if self.leads() {
             return Duration::ZERO;
@@ -213,13 +222,13 @@
         let rank = view.rank(&self.shard, &self.shared.settings.name);
         let turn = RANK_PAUSE * (rank.before.min(RANKED_ENTRIES) + 1);
         match awaited {
-            AwaitedEntry::OfDomain if rank.away => CUT_PAUSE + turn,
-            AwaitedEntry::Strong => STRONG_PAUSE + turn,
+            AwaitedEntry::OfDomain if rank.away => CUT_OFF_PAUSE + turn,
+            AwaitedEntry::Strong => STRONG_MACHINE_PAUSE + turn,
             AwaitedEntry::OfDomain | AwaitedEntry::Ranked => turn,
         }
     }
 
-    /// Leads, or goes on leading under a later epoch; the lease was renewed last by a call sent at `renewed`.
+    /// Starts to lead, or continues under a later epoch. `renewed` is when the last successful lease renewal was sent.
     pub(crate) fn begin(&mut self, term: LeaderTerm, renewed: Option<Instant>) {
         let epoch = term.epoch;
         let renewal = LeaderInput::Renewed(renewed.unwrap_or_else(Instant::now));
@@ -229,7 +238,7 @@
             && !leadership.task.is_finished()
         {
             leadership.epoch = epoch;
-            leadership.lapsed = false;
+            leadership.lease_ended = false;
             leadership.in_doubt = false;
             let _ = leadership.input.offer(LeaderInput::Epoch(epoch, term.epoch_revision));
             let _ = leadership.input.offer(renewal);
@@ -237,20 +246,22 @@
         }
         self.led_since = Some(Instant::now());
         self.predecessor = term.predecessor.clone();
-        let (input, receiver) = ring("leader", LEADER_RING);
+        let (input, receiver) = ring("leader", LEADER_RING_SIZE);
         let _ = input.offer(renewal);
         let shard = self.shard.clone();
-        let duty = LeaderLoop::new(self.shared.clone(), shard, term, input.clone(), receiver);
-        let task = tokio::spawn(duty.run());
-        self.leadership = Some(Leadership { epoch, lapsed: false, in_doubt: false, input, task });
+        let leader_loop =
+            LeaderLoop::new(self.shared.clone(), shard, term, input.clone(), receiver);
+        let task = tokio::spawn(leader_loop.run());
+        self.leadership =
+            Some(Leadership { epoch, lease_ended: false, in_doubt: false, input, task });
     }
 
-    /// Ends leadership, if there is one.
+    /// Ends leadership if this process leads.
     pub(crate) async fn end(&mut self) {
         if let Some(leadership) = self.leadership.take() {
             let _ = leadership.input.send(LeaderInput::Resign).await;
             if leadership.task.await.is_err() {
-                warn!(shard = &*self.shard; "the leader's duty broke off");
+                warn!(shard = &*self.shard; "the leader loop panicked");
             }
         }
     }
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -1,4 +1,4 @@
-//! The duty of keeping the configuration that is in force.
+//! Loop that keeps the current configuration up to date.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use crate::node::shared::NodeShared;
 use crate::platform::{CONFIG_KEY, CONFIG_PREFIX, decode_config};
 
-/// This duty's name in the log.
+/// Name of this loop in the log.
 const DUTY: &str = "configuration";
-/// Longest wait of a watch: a connection that has gone silent is noticed after it and the watch's
-/// slack, within the three seconds that count as a disruption.
+/// Maximum wait of a watch call: a dead connection is noticed after this time and the slack of the watch, within the
+/// three seconds that count as a disruption.
 const WATCH_WAIT: Duration = Duration::from_millis(2_000);
-/// Pause after a call that failed.
+/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
 
 /// Follows the configuration in the store.
@@ -30,7 +30,7 @@
         Self { shared }
     }
 
-    /// Runs for as long as the process.
+    /// Runs for the lifetime of the process.
     pub(crate) async fn run(self) {
         loop {
             let after = match self.read().await {
@@ -49,12 +49,12 @@
         let page = self.shared.store.page(CONFIG_KEY, "").await?;
         self.shared.note_store(DUTY);
         for item in page.items {
-            self.take(&item);
+            self.apply(&item);
         }
         Ok(page.revision)
     }
 
-    /// Watches until the history is gone or a call fails.
+    /// Watches until the store has compacted the history or a call fails.
     async fn follow(&self, mut after: u64) {
         loop {
             match self.shared.store.watch(CONFIG_PREFIX, after, WATCH_WAIT).await {
@@ -62,14 +62,14 @@
                     self.shared.note_store(DUTY);
                     for event in events {
                         match event {
-                            KeyEvent::Written(item) => self.take(&item),
+                            KeyEvent::Written(item) => self.apply(&item),
                             KeyEvent::Removed(_) => {}
                         }
                     }
                     after = after.max(revision);
                 }
                 Ok(WatchOutcome::HistoryGone) => {
-                    info!("the store has forgotten its history: the configuration is read again");
+                    info!("the store has compacted its history: reading the configuration again");
                     return;
                 }
                 Err(error) => {
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Puts a configuration in force unless a later one is.
-    fn take(&self, item: &KeyItem) {
+    /// Applies a configuration unless the current one has the same or a later version.
+    fn apply(&self, item: &KeyItem) {
         if item.key != CONFIG_KEY {
             return;
         }
@@ -90,7 +90,7 @@
             Ok(config) => config,
             Err(error) => {
                 count_unreadable(UnreadableKind::Configuration);
-                error!(error:% = error, revision = item.revision; "the configuration is unreadable");
+                error!(error:% = error, revision = item.revision; "unreadable configuration");
                 return;
             }
         };
@@ -99,7 +99,7 @@
             return;
         }
         let (version, queues) = (config.version, config.queues.len());
-        info!(version, before:? = before, queues, revision = item.revision; "configuration in force");
+        info!(version, before:? = before, queues, revision = item.revision; "configuration applied");
         self.shared.config.send_replace(Some(Arc::new(config)));
     }
 }
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -1,4 +1,4 @@
-//! The duty of staying registered, of becoming the leader of a shard where there is none, and of giving leadership on.
+//! Loop that keeps the entry registered, campaigns for shards without a leader and hands leadership over.
 
 pub(crate) mod handover;
 #[cfg(test)]
@@ -26,31 +26,31 @@
 use crate::node::shared::NodeShared;
 use crate::node::view::MemberView;
 
-/// This duty's name in the log.
+/// Name of this loop in the log.
 const DUTY: &str = "election";
-/// Interval of renewals: three may fail before the lease ends.
-const RENEWAL: Duration = Duration::from_millis(250);
-/// Pause after a call that failed.
+/// Interval between lease renewals: three in a row may fail before the lease ends.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(250);
+/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Shortest time of leading before a machine is taken for too slow: a takeover itself is heavy.
-const LEAST_TERM: Duration = Duration::from_secs(4);
-/// How long a machine that was too slow does not stand.
-const SLOW_REST: Duration = Duration::from_secs(10);
+/// Minimum time as leader before a machine can count as too slow: the takeover itself is a heavy load.
+const MIN_TERM: Duration = Duration::from_secs(4);
+/// How long an entry on a machine that was too slow does not campaign.
+const SLOW_MACHINE_PAUSE: Duration = Duration::from_secs(10);
 
-/// Stays registered and takes part in elections.
+/// Keeps the entry registered and takes part in elections.
 pub(crate) struct ElectionLoop {
     shared: Arc<NodeShared>,
     lease: Option<LeaseId>,
     renewed: Option<Instant>,
-    /// Revision of the change by which this entry registered under its lease. A leader's key that is older stood under
-    /// a lease that has ended.
+    /// Revision of the transaction that registered this entry under its current lease. A leader key with a lower
+    /// revision was written under a lease that has ended.
     registered: u64,
-    /// This process in each shard.
+    /// This process's candidacy for each shard.
     candidacies: BTreeMap<ShardId, Candidacy>,
     lateness: LatenessMonitor,
     peers: PeerClient,
-    /// Until when this process does not stand, as its machine was too slow.
-    rests_until: Option<Instant>,
+    /// Until when this process does not campaign because its machine was too slow.
+    paused_until: Option<Instant>,
 }
 
 impl ElectionLoop {
@@ -63,7 +63,7 @@
             candidacies: BTreeMap::new(),
             lateness: LatenessMonitor::new(),
             peers: PeerClient::new(),
-            rests_until: None,
+            paused_until: None,
         }
     }
 
@@ -78,24 +78,25 @@
                 return;
             }
             if next_renewal <= Instant::now() {
-                let begun = Instant::now();
+                let started = Instant::now();
                 let pause = self.renew().await;
                 next_renewal = Instant::now() + pause;
-                if self.renewed.is_some_and(|renewed| renewed >= begun) {
-                    self.settle_doubts().await;
+                if self.renewed.is_some_and(|renewed| renewed >= started) {
+                    self.resolve_in_doubt().await;
                 }
             }
-            // Nobody leads before the division is known.
+            // No term begins before the shard plan is known.
             if members.borrow().plan.is_some() {
                 for (shard, term) in self.shared.handover_inbox.take_terms() {
-                    self.begin_given(&shard, term);
+                    self.begin_given_term(&shard, term);
                 }
             }
             let view = members.borrow_and_update().clone();
             let mut wake = next_renewal;
             for shard in view.all_shards().unwrap_or_default() {
-                self.follow(&shard, &view).await;
-                wake = self.stand_in_turn(&shard, &view).await.map_or(wake, |turn| turn.min(wake));
+                self.reconcile(&shard, &view).await;
+                wake =
+                    self.campaign_in_turn(&shard, &view).await.map_or(wake, |turn| turn.min(wake));
             }
             tokio::select! {
                 () = sleep_until(wake) => self.note_lateness(wake.elapsed()).await,
@@ -112,8 +113,9 @@
         self.candidacies.entry(shard.clone()).or_insert_with(new)
     }
 
-    /// Tries to become the leader where there is none and it is this entry's turn; gives when it will be.
-    async fn stand_in_turn(&mut self, shard: &ShardId, view: &MemberView) -> Option<Instant> {
+    /// Campaigns for a shard without a leader once it is this entry's turn. Returns the time of that turn, or `None` if
+    /// this entry may not campaign.
+    async fn campaign_in_turn(&mut self, shard: &ShardId, view: &MemberView) -> Option<Instant> {
         if !self.may_campaign(shard, view) {
             self.candidacy(shard).rest();
             return None;
@@ -126,36 +128,39 @@
         Some(turn.max(Instant::now()))
     }
 
-    /// Steps down where this machine has become too slow to lead, which its timers show.
+    /// Hands leadership over when late timers show that this machine has become too slow to lead.
     async fn note_lateness(&mut self, late: Duration) {
         self.lateness.note(late, self.shared.leader_inputs());
-        let settled = self.candidacies.values().any(|own| own.leads_for(LEAST_TERM));
+        let past_min_term =
+            self.candidacies.values().any(|candidacy| candidacy.leads_for(MIN_TERM));
         let others = self.shared.members.borrow().entries.len() > 1;
         let slow = self.lateness.is_slow(self.shared.settings.processor);
         let weaker = self.lateness.is_late() && self.is_weaker();
-        if !(slow || weaker) || !settled || !others {
+        if !(slow || weaker) || !past_min_term || !others {
             return;
         }
         warn!(late_ms = late.as_millis() as u64, weaker; "this machine is too slow to lead");
         self.lateness.forget();
-        // Ended without the store knowing of it, the shard would be without a leader for as long as this entry lives.
+        // The term ends only once the store records it: otherwise the leader key would stay, and the shard would have no
+        // leader for as long as this entry is registered.
         if self.hand_over().await {
-            self.rest();
+            self.pause_campaigns();
         }
     }
 
-    /// Leaves leading to others for a while.
-    fn rest(&mut self) {
-        self.rests_until = Some(Instant::now() + SLOW_REST);
+    /// Stops campaigning and offering to lead for a while.
+    fn pause_campaigns(&mut self) {
+        self.paused_until = Some(Instant::now() + SLOW_MACHINE_PAUSE);
         self.shared.handover_inbox.set_lease(None);
     }
 
-    /// Whether a machine with twice the processor leads nothing: with more to do than this one can, it goes first.
+    /// Whether some machine with more than twice the processor leads no shard: it should lead when the load exceeds
+    /// what this machine can handle.
     fn is_weaker(&self) -> bool {
         self.shared.members.borrow().has_stronger(&self.shared.settings.name)
     }
 
-    /// Renews the lease, or makes a new one; gives the time until the next renewal.
+    /// Renews the lease, or creates a new one. Returns the time until the next renewal.
     async fn renew(&mut self) -> Duration {
         let sent = Instant::now();
         let result = match self.lease {
@@ -167,8 +172,8 @@
                 self.shared.note_store(DUTY);
                 self.renewed = Some(sent);
                 self.offer_lease();
-                self.candidacies.values().for_each(|own| own.note_renewal(sent));
-                RENEWAL.saturating_sub(sent.elapsed())
+                self.candidacies.values().for_each(|candidacy| candidacy.note_renewal(sent));
+                RENEWAL_INTERVAL.saturating_sub(sent.elapsed())
             }
             Ok(false) => {
                 self.shared.dependencies.store.answered(DUTY);
@@ -183,17 +188,17 @@
         }
     }
 
-    /// The lease has ended, and with it the keys of this entry and of its leaders.
+    /// Records that the lease has ended, and with it the keys of this entry and of the shards it leads.
     fn note_lease_expiry(&mut self) {
         self.lease = None;
         self.shared.handover_inbox.set_lease(None);
         self.candidacies.values_mut().for_each(Candidacy::note_lease_expiry);
     }
 
-    /// Tells leaders that leave whether this entry can lead next.
+    /// Sets the lease that is offered to leaders that step down, if this entry can lead next.
     fn offer_lease(&self) {
-        let rests = self.rests_until.is_some_and(|until| until > Instant::now());
-        self.shared.handover_inbox.set_lease(self.lease.filter(|_| !rests));
+        let paused = self.paused_until.is_some_and(|until| until > Instant::now());
+        self.shared.handover_inbox.set_lease(self.lease.filter(|_| !paused));
     }
 
     async fn register(&mut self) -> Result<bool, StoreError> {
@@ -220,42 +225,43 @@
         }
     }
 
-    /// Ends leadership that another has taken, or begins one that an unanswered call has won.
-    async fn follow(&mut self, shard: &ShardId, view: &MemberView) {
+    /// Brings this process's leadership of a shard in line with the store: ends a superseded term, or begins one that
+    /// was won by a call whose answer was lost.
+    async fn reconcile(&mut self, shard: &ShardId, view: &MemberView) {
         let registered = self.lease.is_some();
         let renewed = self.renewed;
         match self.candidacy(shard).standing(view, registered) {
             CandidacyState::Unchanged => {}
-            CandidacyState::Succeeded => self.candidacy(shard).end().await,
+            CandidacyState::Superseded => self.candidacy(shard).end().await,
             CandidacyState::Won(term) if term.epoch_revision < self.registered => {}
             CandidacyState::Won(term) => self.candidacy(shard).begin(term, renewed),
-            CandidacyState::BrokenOff => {
-                warn!(shard = &**shard; "the leader's duty has ended");
+            CandidacyState::LoopEnded => {
+                warn!(shard = &**shard; "the leader loop has ended by itself");
                 self.candidacy(shard).end().await;
-                self.release(shard, view).await;
+                self.remove_leader_key(shard, view).await;
             }
-            // Left standing after a try without an answer, the key would keep the shard without a leader for as long as
-            // this entry lives.
-            CandidacyState::Abandoned => self.release(shard, view).await,
+            // An earlier removal got no answer. While the key exists nobody campaigns, so the shard would have no leader
+            // for as long as this entry is registered.
+            CandidacyState::KeyLeft => self.remove_leader_key(shard, view).await,
         }
     }
 
     fn may_campaign(&self, shard: &ShardId, view: &MemberView) -> bool {
-        let rests = self.rests_until.is_some_and(|until| until > Instant::now());
+        let paused = self.paused_until.is_some_and(|until| until > Instant::now());
         view.known
-            && !rests
+            && !paused
             && view.leaderless(shard)
             && self.lease.is_some()
             && self.shared.config.borrow().is_some()
     }
 
-    /// Tries to become the leader.
+    /// Tries to win the election of a shard's leader.
     async fn campaign(&mut self, shard: &ShardId, view: &MemberView) {
         let Some(lease) = self.lease else {
             return;
         };
-        let led = view.shard(shard);
-        let epoch = led.epoch + 1;
+        let shard_view = view.shard(shard);
+        let epoch = shard_view.epoch + 1;
         let settings = &self.shared.settings;
         let record = LeaderRecord {
             entry: settings.name.clone(),
@@ -264,15 +270,16 @@
             epoch,
         };
         let holder = Some((settings.name.clone(), self.shared.start));
-        // After an election without them, strong machines that were seen before are not waited for again.
-        let elected = EpochRecord { epoch, holder, best: view.best_registered() };
-        let predecessor = led.holder.clone();
+        // Only registered machines count: a strong machine that was absent from this election is not waited for in the
+        // next one.
+        let epoch_record = EpochRecord { epoch, holder, best: view.best_registered() };
+        let predecessor = shard_view.holder.clone();
         let change = KeyTransaction {
-            // Each leader's key is written together with the epoch, so this covers both.
-            conditions: vec![(epoch_key(shard), led.epoch_revision)],
+            // The leader key is always written together with the epoch key, so this condition covers both.
+            conditions: vec![(epoch_key(shard), shard_view.epoch_revision)],
             writes: vec![
                 KeyWrite { key: leader_key(shard), value: encode(&record), lease: Some(lease) },
-                KeyWrite { key: epoch_key(shard), value: encode(&elected), lease: None },
+                KeyWrite { key: epoch_key(shard), value: encode(&epoch_record), lease: None },
             ],
             removes: Vec::new(),
         };
@@ -282,15 +289,16 @@
             Ok(TransactionOutcome::Done(revision)) => {
                 self.shared.note_store(DUTY);
                 self.shared.members.send_modify(|view| {
-                    let led = view.shards.entry(shard.clone()).or_default();
-                    // The members may have told of the election, and of the end of its key, before it was answered.
-                    if led.epoch_revision >= revision {
+                    let shard_view = view.shards.entry(shard.clone()).or_default();
+                    // The members watch may have delivered the election, and the removal of its leader key, before this
+                    // answer arrived.
+                    if shard_view.epoch_revision >= revision {
                         return;
                     }
-                    led.leader = Some(record);
-                    led.epoch = epoch;
-                    led.epoch_revision = revision;
-                    led.holder = elected.holder;
+                    shard_view.leader = Some(record);
+                    shard_view.epoch = epoch;
+                    shard_view.epoch_revision = revision;
+                    shard_view.holder = epoch_record.holder;
                 });
                 let renewed = self.renewed;
                 let term = LeaderTerm { epoch, epoch_revision: revision, predecessor };
@@ -302,21 +310,21 @@
         }
     }
 
-    /// Removes this process's key of the leader, if it still stands.
-    async fn release(&self, shard: &ShardId, view: &MemberView) {
-        let led = view.shard(shard);
-        if led.leader.as_ref().is_none_or(|leader| leader.start != self.shared.start) {
+    /// Removes the leader key of a shard if it names this process.
+    async fn remove_leader_key(&self, shard: &ShardId, view: &MemberView) {
+        let shard_view = view.shard(shard);
+        if shard_view.leader.as_ref().is_none_or(|leader| leader.start != self.shared.start) {
             return;
         }
         let change = KeyTransaction {
-            conditions: vec![(epoch_key(shard), led.epoch_revision)],
+            conditions: vec![(epoch_key(shard), shard_view.epoch_revision)],
             writes: Vec::new(),
             removes: vec![leader_key(shard)],
         };
         let result = self.shared.store.transact(&change).await;
         self.shared.dependencies.store.tried(DUTY, &result);
         if let Err(error) = result {
-            warn!(error:% = error; "the leader's key was not removed");
+            warn!(error:% = error; "failed to remove the leader key");
         }
     }
 }
--- a/src/node/election/handover.rs
+++ b/src/node/election/handover.rs
@@ -1,4 +1,4 @@
-//! Leadership that this entry gives to another as it leaves, or is given.
+//! Handover of leadership to another entry when this one steps down, and the start of terms handed over to this entry.
 
 use log::{info, warn};
 use tokio::time::{Instant, sleep};
@@ -13,63 +13,67 @@
 use crate::node::records::{EpochRecord, LeaderRecord, LeaderTerm};
 use crate::node::view::{MemberView, ShardView};
 
-/// Entries that a leader which leaves asks whether they can lead next.
-const MOST_CANDIDATES: usize = 3;
-/// Words to the one that is named, where they are not answered.
-const GIVE_TRIES: u32 = 3;
-/// Part of the grace period of a planned stop for which a leader stays while the store does not answer.
+/// Maximum number of entries that a leader asks to succeed it.
+const MAX_CANDIDATES: usize = 3;
+/// Attempts to notify the successor while it does not answer.
+const NOTIFY_ATTEMPTS: u32 = 3;
+/// Fraction of the grace period of a planned stop for which a leader keeps retrying the handover while the store does
+/// not answer.
 const LEAVE_SHARE: f64 = 0.65;
 
 impl ElectionLoop {
-    /// Gives all leadership of this process to others; tells whether the store has that.
+    /// Hands over every shard that this process leads. Returns whether the store has recorded all handovers.
     pub(super) async fn hand_over(&mut self) -> bool {
-        let led = self.candidacies.iter().filter(|(_, own)| own.leads());
-        let shards: Vec<ShardId> = led.map(|(shard, _)| shard.clone()).collect();
-        let mut all = true;
+        let shard_view = self.candidacies.iter().filter(|(_, candidacy)| candidacy.leads());
+        let shards: Vec<ShardId> = shard_view.map(|(shard, _)| shard.clone()).collect();
+        let mut all_done = true;
         for shard in shards {
-            all &= self.transfer_leadership(&shard).await;
+            all_done &= self.transfer_leadership(&shard).await;
         }
-        all
+        all_done
     }
 
-    /// Sends changes again that end a term and were not answered. On the same condition as before, either this one is carried
-    /// out or the store tells that the one before was, which cannot be any more afterwards.
-    pub(super) async fn settle_doubts(&mut self) {
-        let doubted = self.candidacies.iter().filter(|(_, own)| own.in_doubt());
-        let shards: Vec<ShardId> = doubted.map(|(shard, _)| shard.clone()).collect();
+    /// Sends unanswered handover transactions again. As the condition is the same, either this one takes effect or the
+    /// conflict shows that the earlier one did; after that, no earlier one can take effect.
+    pub(super) async fn resolve_in_doubt(&mut self) {
+        let in_doubt = self.candidacies.iter().filter(|(_, candidacy)| candidacy.in_doubt());
+        let shards: Vec<ShardId> = in_doubt.map(|(shard, _)| shard.clone()).collect();
         for shard in shards {
             if self.transfer_leadership(&shard).await {
-                self.rest();
+                self.pause_campaigns();
             }
         }
     }
 
-    /// Names the next leader of a shard in the store, goes on until the store has that, and tells it: an election in its
-    /// place leaves the shard without a leader for several calls to the store, or until a store that is down is back.
+    /// Records the next leader of a shard in the store, keeps leading until the store has confirmed it, and then notifies
+    /// the successor. An election instead would leave the shard without a leader for several calls to the store, or until
+    /// a store that is down has recovered.
     async fn transfer_leadership(&mut self, shard: &ShardId) -> bool {
         let view = self.shared.members.borrow().clone();
-        let led = view.shard(shard);
+        let shard_view = view.shard(shard);
         let Some(epoch) = self.candidacy(shard).epoch() else {
             return true;
         };
-        let predecessor = self.candidacy(shard).still_going(&view);
-        let offer = match led.epoch == epoch {
+        let predecessor = self.candidacy(shard).running_predecessor(&view);
+        let offer = match shard_view.epoch == epoch {
             true => self.successor(shard, epoch, &view).await,
             false => None,
         };
         let change = |offer: Option<&SuccessorOffer>| {
-            succession_change(shard, &led, epoch, offer, predecessor.clone(), view.best)
+            succession_change(shard, &shard_view, epoch, offer, predecessor.clone(), view.best)
         };
-        let (Some(named), Some(unnamed)) = (change(offer.as_ref()), change(None)) else {
+        let (Some(with_successor), Some(without_successor)) =
+            (change(offer.as_ref()), change(None))
+        else {
             self.candidacy(shard).end().await;
             return true;
         };
         let mut offer = offer;
-        let mut result = self.shared.store.transact(&named).await;
+        let mut result = self.shared.store.transact(&with_successor).await;
         if matches!(result, Ok(TransactionOutcome::NoLease)) {
-            // The one that was named has gone meanwhile: the choice is left to an election.
+            // The successor's lease has ended meanwhile: an election chooses the leader.
             offer = None;
-            result = self.shared.store.transact(&unnamed).await;
+            result = self.shared.store.transact(&without_successor).await;
         }
         self.shared.dependencies.store.tried(DUTY, &result);
         match result {
@@ -78,41 +82,42 @@
                 match offer {
                     Some(offer) => {
                         let term = LeaderTerm { epoch: epoch + 1, epoch_revision, predecessor };
-                        self.give(shard, &offer, &term).await;
+                        self.notify_successor(shard, &offer, &term).await;
                     }
                     None => self.note_vacant(shard, epoch_revision),
                 }
                 true
             }
-            // Another leads by now: elected, or named by an earlier try that was not answered.
+            // The shard has another leader: elected, or recorded by an earlier unanswered attempt.
             Ok(TransactionOutcome::Conflict(items)) => {
                 self.candidacy(shard).end().await;
-                if let Some((offer, term)) = named_before(shard, epoch, &items, &view, predecessor)
+                if let Some((offer, term)) =
+                    recorded_successor(shard, epoch, &items, &view, predecessor)
                 {
-                    self.give(shard, &offer, &term).await;
+                    self.notify_successor(shard, &offer, &term).await;
                 }
                 true
             }
             Ok(TransactionOutcome::NoLease) => false,
             Err(error) => {
-                warn!(error:% = error; "leadership was not handed over");
+                warn!(error:% = error; "failed to hand leadership over");
                 if let StoreError::Unknown(_) = error {
-                    self.candidacy(shard).doubt(offer.is_some());
+                    self.candidacy(shard).mark_in_doubt(offer.is_some());
                 }
                 false
             }
         }
     }
 
-    /// The store has that nobody leads a shard, which the watch tells later.
+    /// Records that a shard has no leader in the store, ahead of the watch.
     fn note_vacant(&self, shard: &ShardId, epoch_revision: u64) {
         self.shared.members.send_modify(|view| {
-            let led = view.shards.entry(shard.clone()).or_default();
-            (led.leader, led.epoch_revision) = (None, epoch_revision);
+            let shard_view = view.shards.entry(shard.clone()).or_default();
+            (shard_view.leader, shard_view.epoch_revision) = (None, epoch_revision);
         });
     }
 
-    /// The best entry that can lead a shard next.
+    /// Returns the offer of the best entry that can lead a shard next.
     async fn successor(
         &self,
         shard: &ShardId,
@@ -120,31 +125,31 @@
         view: &MemberView,
     ) -> Option<SuccessorOffer> {
         let candidates = view.successors(shard, &self.shared.settings.name);
-        for address in candidates.into_iter().take(MOST_CANDIDATES) {
+        for address in candidates.into_iter().take(MAX_CANDIDATES) {
             if let Ok(Some(offer)) = self.peers.offer(address, shard, epoch).await {
-                info!(shard = &**shard, successor = &*offer.entry; "a successor is named");
+                info!(shard = &**shard, successor = &*offer.entry; "successor chosen");
                 return Some(offer);
             }
         }
         None
     }
 
-    /// Tells the entry that the store names that this process has ended its leadership.
-    async fn give(&self, shard: &ShardId, offer: &SuccessorOffer, term: &LeaderTerm) {
+    /// Notifies the successor recorded in the store that this process's term has ended.
+    async fn notify_successor(&self, shard: &ShardId, offer: &SuccessorOffer, term: &LeaderTerm) {
         let record = leader_record(offer, term.epoch);
         self.shared.members.send_modify(|view| {
             view.shards.entry(shard.clone()).or_default().leader = Some(record);
         });
-        for _ in 0..GIVE_TRIES {
+        for _ in 0..NOTIFY_ATTEMPTS {
             if self.peers.give(offer.address, shard, term).await.is_ok() {
                 return;
             }
         }
-        warn!(shard = &**shard, successor = &*offer.entry; "the successor was not told");
+        warn!(shard = &**shard, successor = &*offer.entry; "failed to notify the successor");
     }
 
-    /// Begins a term that the leader before has given to this entry.
-    pub(super) fn begin_given(&mut self, shard: &ShardId, term: LeaderTerm) {
+    /// Begins a term that the previous leader handed over to this entry.
+    pub(super) fn begin_given_term(&mut self, shard: &ShardId, term: LeaderTerm) {
         let (name, start) = (self.shared.settings.name.clone(), self.shared.start);
         let record = LeaderRecord {
             entry: name.clone(),
@@ -153,23 +158,23 @@
             epoch: term.epoch,
         };
         let renewed = self.renewed;
-        let later = self.shared.members.borrow().shard(shard).epoch > term.epoch;
-        let lapsed = term.epoch_revision < self.registered;
-        if later || lapsed || self.candidacy(shard).has_led(term.epoch) {
+        let superseded = self.shared.members.borrow().shard(shard).epoch > term.epoch;
+        let lease_ended = term.epoch_revision < self.registered;
+        if superseded || lease_ended || self.candidacy(shard).has_led(term.epoch) {
             return;
         }
         self.shared.members.send_modify(|view| {
-            let led = view.shards.entry(shard.clone()).or_default();
-            led.leader = Some(record);
-            led.epoch = term.epoch;
-            led.epoch_revision = term.epoch_revision;
-            led.holder = Some((name, start));
+            let shard_view = view.shards.entry(shard.clone()).or_default();
+            shard_view.leader = Some(record);
+            shard_view.epoch = term.epoch;
+            shard_view.epoch_revision = term.epoch_revision;
+            shard_view.holder = Some((name, start));
         });
         self.candidacy(shard).begin(term, renewed);
     }
 
-    /// A planned stop: leadership goes to another, which need not fear this process. With a store that is down it is
-    /// kept, as nobody else can be elected.
+    /// Hands leadership over for a planned stop, so that the successor need not wait for this process's term to expire.
+    /// While the store is down, leadership is kept, as nobody else can be elected.
     pub(super) async fn leave(&mut self) {
         self.shared.handover_inbox.set_lease(None);
         let until = Instant::now() + self.shared.settings.grace.mul_f64(LEAVE_SHARE);
@@ -187,13 +192,13 @@
         let result = self.shared.store.end_lease(lease).await;
         self.shared.dependencies.store.tried(DUTY, &result);
         if let Err(error) = result {
-            warn!(error:% = error; "the lease was not ended");
+            warn!(error:% = error; "failed to end the lease");
         }
     }
 }
 
-/// The successor that an earlier try has named for the term after an epoch, by what the store has.
-fn named_before(
+/// Returns the successor that an earlier attempt recorded in the store for the term after `epoch`, if there is one.
+fn recorded_successor(
     shard: &ShardId,
     epoch: LeaderEpoch,
     items: &[KeyItem],
@@ -212,23 +217,24 @@
     LeaderRecord { entry: offer.entry.clone(), address: offer.address, start: offer.start, epoch }
 }
 
-/// The change that ends a leader's term under an epoch: it names the next where there is an offer, or else leaves the
-/// choice to an election, for which `going` may go on. Nothing where the shard has a later leader: a change on the
-/// condition of that one's epoch would end its term and tell the next that nobody is left, so that tasks run twice.
+/// Builds the transaction that ends a leader's term under `epoch`. With an offer it records the successor; without one it
+/// leaves the choice to an election, whose winner must assume that `running_predecessor` may still run. Returns `None` if
+/// the shard has a later leader: a transaction on the condition of that leader's epoch would end its term and record that
+/// no earlier leader still runs, so that tasks would run twice.
 pub(crate) fn succession_change(
     shard: &ShardId,
-    led: &ShardView,
+    shard_view: &ShardView,
     epoch: LeaderEpoch,
     offer: Option<&SuccessorOffer>,
-    going: Option<(EntryId, u64)>,
+    running_predecessor: Option<(EntryId, u64)>,
     best: f64,
 ) -> Option<KeyTransaction> {
-    if led.epoch != epoch {
+    if shard_view.epoch != epoch {
         return None;
     }
-    let conditions = vec![(epoch_key(shard), led.epoch_revision)];
+    let conditions = vec![(epoch_key(shard), shard_view.epoch_revision)];
     let Some(offer) = offer else {
-        let record = EpochRecord { epoch: led.epoch, holder: going, best };
+        let record = EpochRecord { epoch: shard_view.epoch, holder: running_predecessor, best };
         let writes = vec![KeyWrite { key: epoch_key(shard), value: encode(&record), lease: None }];
         return Some(KeyTransaction { conditions, writes, removes: vec![leader_key(shard)] });
     };
--- a/src/node/election/lease_tests.rs
+++ b/src/node/election/lease_tests.rs
@@ -1,4 +1,4 @@
-//! Renewals of the entry's lease that say nothing of its leaders' keys.
+//! Leader keys that are gone, or left behind, although the entry's lease is renewed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,174 +20,179 @@
 use crate::platform::EmptyStore;
 
 const UNKNOWN: &str = "00000000000000a3";
-/// Longest time for the leader to begin.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum time for the leader loop to start or end.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn whole() -> ShardId {
+fn undivided() -> ShardId {
     ShardId::from("")
 }
 
-/// An entry that has registered.
+/// Returns the state and the election loop of a registered entry.
 async fn registered(store: SocketAddr) -> (Arc<NodeShared>, ElectionLoop) {
     let shared = Arc::new(NodeShared::new(NodeSettings { store, ..settings() }));
     shared.members.send_modify(|view| view.plan = Some(Arc::new(ShardPlan::undivided())));
-    let mut duty = ElectionLoop::new(shared.clone());
-    duty.renew().await;
-    assert!(duty.lease.is_some(), "not registered");
-    (shared, duty)
+    let mut election = ElectionLoop::new(shared.clone());
+    election.renew().await;
+    assert!(election.lease.is_some(), "not registered");
+    (shared, election)
 }
 
-/// The lease ends, and the entry registers anew.
-async fn register_anew(store: &EmptyStore, duty: &mut ElectionLoop) {
-    let before = duty.lease;
+/// Ends the lease in the store and lets the entry register again.
+async fn register_again(store: &EmptyStore, election: &mut ElectionLoop) {
+    let before = election.lease;
     store.end_lease();
-    duty.renew().await;
-    assert!(duty.lease.is_none(), "the lease has not ended");
-    duty.renew().await;
-    assert!(duty.lease.is_some() && duty.lease != before, "not registered anew");
+    election.renew().await;
+    assert!(election.lease.is_none(), "the lease has not ended");
+    election.renew().await;
+    assert!(election.lease.is_some() && election.lease != before, "not registered again");
 }
 
-/// What the leader of this process answers of a job that it does not have, once it leads.
-async fn told_of_unknown(shared: &NodeShared) -> Option<LeaderAnswer> {
+/// Waits until this process leads, and returns its leader's answer about an unknown job.
+async fn answer_for_unknown_job(shared: &NodeShared) -> Option<LeaderAnswer> {
     let leads = async {
-        while shared.leading(&whole()).is_none() {
+        while shared.leading(&undivided()).is_none() {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    assert!(timeout(PATIENCE, leads).await.is_ok(), "it does not lead");
-    ask_here(shared, &whole(), LeaderCall::State(GraphId::from(UNKNOWN))).await
+    assert!(timeout(START_TIMEOUT, leads).await.is_ok(), "the entry does not lead");
+    ask_here(shared, &undivided(), LeaderCall::State(GraphId::from(UNKNOWN))).await
 }
 
-// It offered the lease under which the store names it; that ended, with the leader's key, before the word of the leader
-// that leaves arrived, so another may have been elected since.
+// The entry offered its lease to a leader that stepped down. The lease, and with it the leader key, ended before the
+// notification of the term arrived, so another leader may have been elected meanwhile.
 #[gtest]
 #[tokio::test]
-async fn a_term_that_was_given_under_a_lease_that_has_ended_is_led() {
+async fn a_term_given_under_an_ended_lease_does_not_begin() {
     let (store, address) = EmptyStore::start().await;
-    let (shared, mut duty) = registered(address).await;
-    let offered = shared.handover_inbox.name(whole(), 1);
-    assert_eq!(offered, duty.lease);
-    register_anew(&store, &mut duty).await;
-    duty.begin_given(&whole(), LeaderTerm { epoch: 2, epoch_revision: 5, predecessor: None });
-    expect_false!(duty.candidacy(&whole()).leads());
+    let (shared, mut election) = registered(address).await;
+    let offered = shared.handover_inbox.name(undivided(), 1);
+    assert_eq!(offered, election.lease);
+    register_again(&store, &mut election).await;
+    election.begin_given_term(
+        &undivided(),
+        LeaderTerm { epoch: 2, epoch_revision: 5, predecessor: None },
+    );
+    expect_false!(election.candidacy(&undivided()).leads());
 }
 
-// The same where that word is lost: it takes up the term by the key that it has read before its lease ended.
+// The same if the notification is lost: the entry would begin the term because of the leader key that it read before its
+// lease ended.
 #[gtest]
 #[tokio::test]
-async fn a_term_that_was_won_under_a_lease_that_has_ended_is_led() {
+async fn a_term_won_under_an_ended_lease_does_not_begin() {
     let (store, address) = EmptyStore::start().await;
-    let (shared, mut duty) = registered(address).await;
+    let (shared, mut election) = registered(address).await;
     let entry = shared.settings.name.clone();
     let (address, start) = (shared.settings.peers, shared.start);
     shared.members.send_modify(|view| {
-        let led = view.shards.entry(whole()).or_default();
-        led.leader = Some(LeaderRecord { entry, address, start, epoch: 2 });
-        (led.epoch, led.epoch_revision) = (2, 5);
+        let shard_view = view.shards.entry(undivided()).or_default();
+        shard_view.leader = Some(LeaderRecord { entry, address, start, epoch: 2 });
+        (shard_view.epoch, shard_view.epoch_revision) = (2, 5);
     });
-    register_anew(&store, &mut duty).await;
+    register_again(&store, &mut election).await;
     let view = shared.members.borrow().clone();
-    duty.follow(&whole(), &view).await;
-    expect_false!(duty.candidacy(&whole()).leads());
+    election.reconcile(&undivided(), &view).await;
+    expect_false!(election.candidacy(&undivided()).leads());
 }
 
-// The change that ends its term is carried out and its answer lost: the lease stands, the leader's key does not.
+// The transaction that ends the term takes effect and its answer is lost: the lease is still valid, but the leader key is
+// gone.
 #[gtest]
 #[tokio::test]
-async fn a_leader_whose_hand_over_was_not_answered_denies_later_jobs() {
+async fn a_leader_with_an_unanswered_handover_does_not_deny_jobs() {
     let (store, address) = EmptyStore::start().await;
-    let (shared, mut duty) = registered(address).await;
+    let (shared, mut election) = registered(address).await;
     let view = shared.members.borrow().clone();
-    duty.campaign(&whole(), &view).await;
-    expect_that!(told_of_unknown(&shared).await, some(eq(&LeaderAnswer::Gone)));
+    election.campaign(&undivided(), &view).await;
+    expect_that!(answer_for_unknown_job(&shared).await, some(eq(&LeaderAnswer::Gone)));
     store.loses_answers.store(true, Ordering::Relaxed);
-    assert!(!duty.hand_over().await);
+    assert!(!election.hand_over().await);
     assert_eq!(store.lost.load(Ordering::Relaxed), 1);
-    duty.renew().await;
-    expect_that!(told_of_unknown(&shared).await, some(eq(&LeaderAnswer::NotLeading)));
+    election.renew().await;
+    expect_that!(answer_for_unknown_job(&shared).await, some(eq(&LeaderAnswer::NotLeading)));
 }
 
-// The lease ends while the answer to the election is on its way, and the members tell so before it: the record that the
-// answer leaves among the members stands for good, so that the leader neither gets a renewal nor stands again.
+// The lease ends before the answer to the election arrives, and the members watch delivers that first. If the late answer
+// then put the leader record into the view, it stayed there: the leader got no renewal and never campaigned again.
 #[gtest]
 #[tokio::test]
-async fn a_leader_whose_lease_ended_before_its_election_was_answered_never_stands_again() {
+async fn an_entry_may_campaign_again_if_its_lease_ended_before_the_election_was_answered() {
     let (store, address) = EmptyStore::start().await;
-    let (shared, mut duty) = registered(address).await;
+    let (shared, mut election) = registered(address).await;
     shared.members.send_modify(|view| view.known = true);
     let limits = RequestLimits { body_bytes: 1 << 18, head_time: Duration::from_secs(3) };
     let config =
         QueueConfig { version: 1, queues: Default::default(), pools: Default::default(), limits };
     shared.config.send_replace(Some(Arc::new(config)));
     let view = shared.members.borrow().clone();
-    assert!(duty.may_campaign(&whole(), &view));
+    assert!(election.may_campaign(&undivided(), &view));
     let before = store.changes.load(Ordering::Relaxed);
     store.keeps_answers.store(true, Ordering::Relaxed);
-    let told = async {
+    let watch_events = async {
         while store.changes.load(Ordering::Relaxed) == before {
             sleep(Duration::from_millis(1)).await;
         }
         store.end_lease();
-        // The election and the end of the leader's key, as the members are told of both.
+        // The state after the watch has delivered the election and the removal of the leader key.
         shared.members.send_modify(|view| {
-            let led = view.shards.entry(whole()).or_default();
-            (led.leader, led.epoch, led.epoch_revision) = (None, 1, 9);
+            let shard_view = view.shards.entry(undivided()).or_default();
+            (shard_view.leader, shard_view.epoch, shard_view.epoch_revision) = (None, 1, 9);
         });
         store.keeps_answers.store(false, Ordering::Relaxed);
     };
-    let shard = whole();
-    tokio::join!(duty.campaign(&shard, &view), told);
-    duty.renew().await;
-    duty.renew().await;
-    assert!(duty.lease.is_some(), "not registered anew");
+    let shard = undivided();
+    tokio::join!(election.campaign(&shard, &view), watch_events);
+    election.renew().await;
+    election.renew().await;
+    assert!(election.lease.is_some(), "not registered again");
     let view = shared.members.borrow().clone();
-    duty.follow(&whole(), &view).await;
-    expect_true!(duty.may_campaign(&whole(), &view));
+    election.reconcile(&undivided(), &view).await;
+    expect_true!(election.may_campaign(&undivided(), &view));
 }
 
-// The change is sent again on the same condition once the store answers, which settles the term either way.
+// Sent again on the same condition once the store answers, the transaction ends the term in either case.
 #[gtest]
 #[tokio::test]
-async fn a_hand_over_that_was_not_answered_is_sent_again_until_the_term_has_ended() {
+async fn an_unanswered_handover_is_sent_again_until_the_term_has_ended() {
     let (store, address) = EmptyStore::start().await;
-    let (shared, mut duty) = registered(address).await;
+    let (shared, mut election) = registered(address).await;
     let view = shared.members.borrow().clone();
-    duty.campaign(&whole(), &view).await;
+    election.campaign(&undivided(), &view).await;
     store.loses_answers.store(true, Ordering::Relaxed);
-    assert!(!duty.hand_over().await);
-    duty.settle_doubts().await;
-    expect_true!(duty.candidacy(&whole()).in_doubt());
+    assert!(!election.hand_over().await);
+    election.resolve_in_doubt().await;
+    expect_true!(election.candidacy(&undivided()).in_doubt());
     store.loses_answers.store(false, Ordering::Relaxed);
-    duty.settle_doubts().await;
-    expect_false!(duty.candidacy(&whole()).leads());
-    expect_false!(duty.candidacy(&whole()).in_doubt());
+    election.resolve_in_doubt().await;
+    expect_false!(election.candidacy(&undivided()).leads());
+    expect_false!(election.candidacy(&undivided()).in_doubt());
 }
 
-// A leader's duty has ended by itself, and the change that removes its key is not answered: the key stands with the entry's
-// lease, and nobody stands for as long as the entry lives.
+// The leader loop ends by itself, and the transaction that removes its key gets no answer. Unless it is sent again, the key
+// exists as long as the entry's lease, and nobody campaigns.
 #[gtest]
 #[tokio::test]
-async fn a_key_whose_removal_was_not_answered_stands_for_good() {
+async fn an_unanswered_removal_of_the_leader_key_is_sent_again() {
     let (store, address) = EmptyStore::start().await;
-    let (shared, mut duty) = registered(address).await;
+    let (shared, mut election) = registered(address).await;
     let view = shared.members.borrow().clone();
-    duty.campaign(&whole(), &view).await;
-    told_of_unknown(&shared).await;
-    let leader = shared.leading(&whole()).unwrap();
+    election.campaign(&undivided(), &view).await;
+    answer_for_unknown_job(&shared).await;
+    let leader = shared.leading(&undivided()).unwrap();
     leader.send(LeaderInput::Resign).await;
     let ended = async {
-        while shared.leading(&whole()).is_some() {
+        while shared.leading(&undivided()).is_some() {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    assert!(timeout(PATIENCE, ended).await.is_ok(), "it leads on");
+    assert!(timeout(START_TIMEOUT, ended).await.is_ok(), "the leader loop has not ended");
     sleep(Duration::from_millis(20)).await;
     store.loses_answers.store(true, Ordering::Relaxed);
     let view = shared.members.borrow().clone();
-    duty.follow(&whole(), &view).await;
+    election.reconcile(&undivided(), &view).await;
     assert_eq!(store.lost.load(Ordering::Relaxed), 1);
     store.loses_answers.store(false, Ordering::Relaxed);
     let before = store.changes.load(Ordering::Relaxed);
-    duty.follow(&whole(), &view).await;
+    election.reconcile(&undivided(), &view).await;
     expect_that!(store.changes.load(Ordering::Relaxed), eq(before + 1));
 }
--- a/src/node/handover_inbox.rs
+++ b/src/node/handover_inbox.rs
@@ -1,4 +1,4 @@
-//! Leadership that an entry which leaves gives to another, in place of an election.
+//! Terms that leaders hand over to this entry when they step down, in place of an election.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,69 +14,73 @@
 use crate::node::keys::LeaseId;
 use crate::node::records::LeaderTerm;
 
-/// How long an entry that was named waits to be told that the leader before has ended: a store that is a hundred times
-/// slower takes 0.4 s for the change. Without that word it leads as after any election.
-const WORD_TIME: Duration = Duration::from_millis(1_500);
+/// How long a recorded successor waits for the notification that the previous leader has ended: a store that is a hundred
+/// times slower than usual takes 0.4 s for the transaction. Without the notification the successor leads as after an
+/// election.
+const TERM_WAIT: Duration = Duration::from_millis(1_500);
 
-/// What an entry offers that can lead.
+/// Offer of an entry to lead a shard next.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub(crate) struct SuccessorOffer {
     pub(crate) entry: EntryId,
-    /// Where other entries reach it.
+    /// Address for other entries.
     pub(crate) address: SocketAddr,
-    /// Tells this start of the entry from any other.
+    /// Identifies this start of the entry's process.
     pub(crate) start: u64,
-    /// Its lease in the store, under which the key of the leader will stand.
+    /// The entry's lease in the store, which the leader key will be written under.
     pub(crate) lease: LeaseId,
 }
 
-/// What leaving leaders and this entry tell each other.
+/// State of handovers from leaders that step down to this entry.
 #[derive(Debug, Default)]
 pub(crate) struct HandoverInbox {
-    /// This entry's lease, while it could lead.
+    /// This entry's lease, while it can lead.
     lease: Mutex<Option<LeaseId>>,
-    /// Terms for which this entry was named, and until when the word of the leader before is waited for.
-    named: Mutex<BTreeMap<ShardId, (LeaderEpoch, Instant)>>,
-    /// Terms that were given to it and have not begun.
+    /// Terms that this entry has offered to lead, and until when each waits for the previous leader's notification.
+    expected_terms: Mutex<BTreeMap<ShardId, (LeaderEpoch, Instant)>>,
+    /// Terms handed over to this entry that have not begun.
     term_given: Mutex<BTreeMap<ShardId, LeaderTerm>>,
-    news: Notify,
+    term_notify: Notify,
 }
 
 impl HandoverInbox {
-    /// Sets or ends the lease under which this entry could lead.
+    /// Sets the lease under which this entry can lead, or clears it.
     pub(crate) fn set_lease(&self, lease: Option<LeaseId>) {
         *lock(&self.lease) = lease;
     }
 
-    /// The lease under which this entry could lead a shard after an epoch, if it could.
+    /// Returns the lease under which this entry can lead a shard after `epoch`, if it can, and expects that term from then
+    /// on.
     pub(crate) fn name(&self, shard: ShardId, epoch: LeaderEpoch) -> Option<LeaseId> {
         let lease = (*lock(&self.lease))?;
-        lock(&self.named).insert(shard, (epoch + 1, Instant::now() + WORD_TIME));
+        lock(&self.expected_terms).insert(shard, (epoch + 1, Instant::now() + TERM_WAIT));
         Some(lease)
     }
 
-    /// Whether the word of the leader before is still waited for.
+    /// Whether the term of `epoch` still waits for the previous leader's notification.
     pub(crate) fn awaits_term(&self, shard: &ShardId, epoch: LeaderEpoch) -> bool {
-        let named = lock(&self.named);
-        named.get(shard).is_some_and(|(term, until)| *term == epoch && Instant::now() < *until)
+        let expected_terms = lock(&self.expected_terms);
+        expected_terms
+            .get(shard)
+            .is_some_and(|(term, until)| *term == epoch && Instant::now() < *until)
     }
 
-    /// A leader has ended, and the store names this entry for the term after.
+    /// Takes the notification that a leader has ended and the store names this entry for the next term.
     pub(crate) fn give(&self, shard: ShardId, term: LeaderTerm) {
-        lock(&self.named).remove(&shard);
+        lock(&self.expected_terms).remove(&shard);
         lock(&self.term_given).insert(shard, term);
-        self.news.notify_one();
+        self.term_notify.notify_one();
     }
 
-    /// Takes the terms that were given.
+    /// Removes and returns the terms handed over so far.
     pub(crate) fn take_terms(&self) -> BTreeMap<ShardId, LeaderTerm> {
         std::mem::take(&mut *lock(&self.term_given))
     }
 
-    /// Waits for a term to be given.
+    /// Waits until a term is handed over.
     pub(crate) async fn term_given(&self) {
-        self.news.notified().await;
+        self.term_notify.notified().await;
     }
 }
 
--- a/src/node/ledger.rs
+++ b/src/node/ledger.rs
@@ -32,7 +32,7 @@
 
 /// Name in the log of reading and writing the ledger.
 pub(crate) const LEDGER_DUTY: &str = "ledger";
-/// Pause after a call that failed.
+/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 /// A group that took longer is worth a warning: callers wait for it.
 const SLOW_GROUP: Duration = Duration::from_millis(500);
--- a/src/node/members.rs
+++ b/src/node/members.rs
@@ -1,4 +1,4 @@
-//! The duty of knowing who takes part: entries and the leader.
+//! Loop that keeps the view of the registered entries, leaders and shard plan current.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,15 +15,15 @@
 use crate::node::shared::NodeShared;
 use crate::node::view::MemberView;
 
-/// This duty's name in the log.
+/// Name of this loop in the log.
 const DUTY: &str = "members";
-/// Longest wait of a watch: a connection that has gone silent is noticed after it and the watch's
-/// slack, within the three seconds that count as a disruption.
+/// Maximum wait of a watch call: a dead connection is noticed after this time and the slack of the watch, within the
+/// three seconds that count as a disruption.
 const WATCH_WAIT: Duration = Duration::from_millis(2_000);
-/// Pause after a call that failed.
+/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Follows the members in the store.
+/// Follows the member keys in the store.
 pub(crate) struct MembershipLoop {
     shared: Arc<NodeShared>,
 }
@@ -33,7 +33,7 @@
         Self { shared }
     }
 
-    /// Runs for as long as the process.
+    /// Runs for the lifetime of the process.
     pub(crate) async fn run(self) {
         loop {
             let result = match self.read().await {
@@ -48,7 +48,7 @@
     }
 
     pub(super) async fn read(&self) -> Result<u64, StoreError> {
-        // A division is agreed once.
+        // The shard plan never changes once it is agreed.
         let MemberView { plan, best, .. } = self.shared.members.borrow().clone();
         let mut view = MemberView { known: true, plan, best, ..MemberView::default() };
         let mut after = String::new();
@@ -56,7 +56,7 @@
         loop {
             let page = self.shared.store.page(MEMBER_PREFIX, &after).await?;
             self.shared.note_store(DUTY);
-            // Changes since the first page are seen again by the watch.
+            // The watch starts at the first page's revision, so it repeats changes made while later pages are read.
             let first = *revision.get_or_insert(page.revision);
             for item in &page.items {
                 written(&mut view, item);
@@ -90,7 +90,7 @@
                     self.publish(view);
                 }
                 WatchOutcome::HistoryGone => {
-                    info!("the store has forgotten its history: the members are read again");
+                    info!("the store has compacted its history: reading the members again");
                     return Ok(());
                 }
             }
@@ -99,10 +99,10 @@
 
     fn publish(&self, view: MemberView) {
         let changed = |old: &mut MemberView| {
-            for (shard, led) in &view.shards {
-                if old.leader(shard) != led.leader.as_ref() {
-                    let leader = led.leader.as_ref().map(|leader| &*leader.entry);
-                    info!(leader:? = leader, shard = &**shard, epoch = led.epoch; "the leader changed");
+            for (shard, shard_view) in &view.shards {
+                if old.leader(shard) != shard_view.leader.as_ref() {
+                    let leader = shard_view.leader.as_ref().map(|leader| &*leader.entry);
+                    info!(leader:? = leader, shard = &**shard, epoch = shard_view.epoch; "leader changed");
                 }
             }
             let changed = *old != view;
@@ -122,11 +122,11 @@
         view.shards.entry(shard).or_default().take_leader(record);
     } else if let Some(shard) = shard_of_epoch(key) {
         let record = decode(item).unwrap_or_else(|| unreadable_epoch(item));
-        let led = view.shards.entry(shard).or_default();
-        if item.revision >= led.epoch_revision {
-            led.epoch = record.epoch;
-            led.holder = record.holder;
-            led.epoch_revision = item.revision;
+        let shard_view = view.shards.entry(shard).or_default();
+        if item.revision >= shard_view.epoch_revision {
+            shard_view.epoch = record.epoch;
+            shard_view.holder = record.holder;
+            shard_view.epoch_revision = item.revision;
         }
         view.best = view.best.max(record.best);
     } else if let Some(name) = key.strip_prefix(ENTRY_PREFIX)
@@ -137,8 +137,8 @@
     }
 }
 
-/// What an unreadable count of elections stands for: each election has raised the store's revision, so
-/// that the key's own is no lower than any epoch, and who was elected last may go on.
+/// Stands in for an unreadable epoch record. Each election raises the store's revision, so the key's revision is at least
+/// as high as its epoch; the leader elected last is unknown and may still run.
 fn unreadable_epoch(item: &KeyItem) -> EpochRecord {
     EpochRecord { epoch: item.revision, holder: Some(unknown_leader()), best: 0.0 }
 }
@@ -147,8 +147,8 @@
     if let Some(name) = key.strip_prefix(ENTRY_PREFIX) {
         view.entries.remove(name);
     }
-    if let Some(led) = shard_of_leader(key).and_then(|shard| view.shards.get_mut(&shard)) {
-        led.forget_leader();
+    if let Some(shard_view) = shard_of_leader(key).and_then(|shard| view.shards.get_mut(&shard)) {
+        shard_view.forget_leader();
     }
 }
 
@@ -156,7 +156,7 @@
     let decoded = serde_json::from_slice(&item.value);
     if let Err(error) = &decoded {
         count_unreadable(UnreadableKind::Member);
-        warn!(key = item.key, error:% = error; "a key of the members is unreadable");
+        warn!(key = item.key, error:% = error; "unreadable member key");
     }
     decoded.ok()
 }
--- a/src/node/members_tests.rs
+++ b/src/node/members_tests.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of the members after it has read them.
+//! The view of the members after reads and watch events.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,15 +18,15 @@
 use crate::node::tests::{divided, entry, settings};
 use crate::node::view::MemberView;
 
-/// A page that an entry is on, and after which there is another.
+/// A page with one entry, followed by another page.
 const FIRST_PAGE: &str = r#"{"items": [{"key": "m/entry/e1", "value": "", "revision": 1}], "has_more": true, "as_of": 7}"#;
-/// A page with a division into the shards `a` and `b`.
-const DIVISION_PAGE: &str = r#"{"items": [{"key": "m/shards", "value": "eyJkb21haW5zIjp7ImEiOjEsImIiOjF9fQ==", "revision": 2}], "as_of": 9}"#;
-/// A page with a division that cannot be read.
+/// A page with a shard plan of the shards `a` and `b`.
+const PLAN_PAGE: &str = r#"{"items": [{"key": "m/shards", "value": "eyJkb21haW5zIjp7ImEiOjEsImIiOjF9fQ==", "revision": 2}], "as_of": 9}"#;
+/// A page with an unreadable shard plan.
 const UNREADABLE_PAGE: &str =
     r#"{"items": [{"key": "m/shards", "value": 7, "revision": 3}], "as_of": 9}"#;
 
-/// Serves a store that has a first page, and another after a key.
+/// Serves a store with a first page, and a next one for requests that start after a key.
 async fn serve_pages(first: &'static str, next: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -36,8 +36,9 @@
             tokio::spawn(async move {
                 let mut request = [0; 4_096];
                 while let Ok(count @ 1..) = stream.read(&mut request).await {
-                    let later = String::from_utf8_lossy(&request[..count]).contains("after=");
-                    let page = if later { next } else { first };
+                    let is_next_page =
+                        String::from_utf8_lossy(&request[..count]).contains("after=");
+                    let page = if is_next_page { next } else { first };
                     let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n", page.len());
                     stream.write_all(format!("{head}{page}").as_bytes()).await.unwrap();
                 }
@@ -47,44 +48,44 @@
     address
 }
 
-/// An entry whose store has such pages.
+/// An entry whose store serves the two pages.
 async fn shared(first: &'static str, next: &'static str) -> Arc<NodeShared> {
     let store = serve_pages(first, next).await;
     Arc::new(NodeShared::new(NodeSettings { store, ..settings() }))
 }
 
-// The key of the division is the last of the members'.
+// The key of the shard plan is the last of the member keys.
 #[gtest]
 #[tokio::test]
-async fn a_division_on_a_later_page_is_known() {
-    let shared = shared(FIRST_PAGE, DIVISION_PAGE).await;
+async fn a_shard_plan_on_a_later_page_is_read() {
+    let shared = shared(FIRST_PAGE, PLAN_PAGE).await;
     let revision = MembershipLoop::new(shared.clone()).read().await;
     expect_that!(shared.members.borrow().plan, eq(&divided(&[]).plan));
-    // What has changed since the first page comes with the watch.
+    // The watch delivers changes made since the first page.
     expect_that!(revision.ok(), some(eq(7)));
 }
 
-// An entry whose history the store had forgotten read the members anew and forgot what was agreed once.
+// An entry that read the members again, after the store had compacted its history, lost the agreed shard plan.
 #[gtest]
 #[tokio::test]
-async fn a_division_that_was_known_stays_so() {
+async fn a_known_shard_plan_survives_a_new_read() {
     let shared = shared(UNREADABLE_PAGE, "").await;
     shared.members.send_modify(|view| view.plan = divided(&[]).plan);
     expect_that!(MembershipLoop::new(shared.clone()).read().await.ok(), some(eq(9)));
     expect_that!(shared.members.borrow().plan, eq(&divided(&[]).plan));
 }
 
-// It refuses all that callers ask, and they stayed on its connections.
+// Such an entry refuses all calls; while it reported itself ready, callers kept their connections to it.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_does_not_know_the_division_is_not_ready() {
+async fn an_entry_without_the_shard_plan_is_not_ready() {
     let shared = entry();
     expect_true!(shared.ready());
     shared.members.send_modify(|view| view.plan = None);
     expect_false!(shared.ready());
 }
 
-/// A key of an undivided deployment's leader, or of its count of elections.
+/// A leader key or epoch key with its value.
 fn item<T: Serialize>(key: String, value: &T, revision: u64) -> KeyItem {
     KeyItem { key, value: serde_json::to_vec(value).unwrap().into(), revision }
 }
@@ -94,45 +95,45 @@
     LeaderRecord { entry: EntryId::from("e1"), address, start: epoch, epoch }
 }
 
-/// Members of whom another entry has told the leader of epoch 3, while the watch has come to epoch 1.
-fn told_of_third() -> MemberView {
+/// A view that has the leader of epoch 3 from another entry, while the watch has only reached epoch 1.
+fn view_with_third_leader() -> MemberView {
     let mut view = MemberView::default();
-    let led = view.shards.entry(ShardId::from("")).or_default();
-    (led.epoch, led.epoch_revision, led.leader) = (1, 5, Some(leader_of(3)));
+    let shard_view = view.shards.entry(ShardId::from("")).or_default();
+    (shard_view.epoch, shard_view.epoch_revision, shard_view.leader) = (1, 5, Some(leader_of(3)));
     view
 }
 
-// A watch that is behind what other entries have told brought back the leader before, and calls went to it.
+// A watch that lagged behind news from other entries restored the previous leader, and calls were sent to it.
 #[gtest]
-fn a_late_change_does_not_bring_back_an_earlier_leader() {
-    let whole = ShardId::from("");
-    let mut view = told_of_third();
-    written(&mut view, &item(leader_key(&whole), &leader_of(2), 8));
-    expect_that!(view.leader(&whole), some(eq(&leader_of(3))));
-    removed(&mut view, &leader_key(&whole));
-    expect_that!(view.leader(&whole), some(eq(&leader_of(3))));
+fn a_late_watch_event_does_not_restore_an_earlier_leader() {
+    let undivided = ShardId::from("");
+    let mut view = view_with_third_leader();
+    written(&mut view, &item(leader_key(&undivided), &leader_of(2), 8));
+    expect_that!(view.leader(&undivided), some(eq(&leader_of(3))));
+    removed(&mut view, &leader_key(&undivided));
+    expect_that!(view.leader(&undivided), some(eq(&leader_of(3))));
 }
 
 #[gtest]
-fn a_leader_is_gone_once_the_watch_has_come_to_its_election_and_its_end() {
-    let whole = ShardId::from("");
-    let mut view = told_of_third();
+fn a_leader_is_removed_once_the_watch_has_delivered_its_election_and_its_end() {
+    let undivided = ShardId::from("");
+    let mut view = view_with_third_leader();
     let elected = EpochRecord { epoch: 3, ..EpochRecord::default() };
-    written(&mut view, &item(epoch_key(&whole), &elected, 9));
-    written(&mut view, &item(leader_key(&whole), &leader_of(3), 9));
-    removed(&mut view, &leader_key(&whole));
-    expect_that!(view.leader(&whole), none());
+    written(&mut view, &item(epoch_key(&undivided), &elected, 9));
+    written(&mut view, &item(leader_key(&undivided), &leader_of(3), 9));
+    removed(&mut view, &leader_key(&undivided));
+    expect_that!(view.leader(&undivided), none());
 }
 
-// An entry knows its own election by the answer to it, before the watch tells of the ones before.
+// An entry learns of its own election from the answer, before the watch delivers the earlier elections.
 #[gtest]
-fn a_late_change_does_not_bring_back_an_earlier_count_of_elections() {
-    let whole = ShardId::from("");
-    let mut view = told_of_third();
-    let led = view.shards.entry(whole.clone()).or_default();
-    (led.epoch, led.epoch_revision) = (3, 9);
-    let before = EpochRecord { epoch: 2, ..EpochRecord::default() };
-    written(&mut view, &item(epoch_key(&whole), &before, 8));
-    expect_that!(view.shard(&whole).epoch, eq(3));
-    expect_that!(view.shard(&whole).epoch_revision, eq(9));
+fn a_late_watch_event_does_not_restore_an_earlier_epoch() {
+    let undivided = ShardId::from("");
+    let mut view = view_with_third_leader();
+    let shard_view = view.shards.entry(undivided.clone()).or_default();
+    (shard_view.epoch, shard_view.epoch_revision) = (3, 9);
+    let earlier = EpochRecord { epoch: 2, ..EpochRecord::default() };
+    written(&mut view, &item(epoch_key(&undivided), &earlier, 8));
+    expect_that!(view.shard(&undivided).epoch, eq(3));
+    expect_that!(view.shard(&undivided).epoch_revision, eq(9));
 }
--- a/src/node/probe.rs
+++ b/src/node/probe.rs
@@ -1,4 +1,4 @@
-//! The balancer's probe, metrics, and the state dump.
+//! HTTP routes of the load balancer's readiness probe, the metrics and the state dump.
 
 use std::collections::BTreeMap;
 use std::pin::Pin;
@@ -20,10 +20,10 @@
 use crate::platform::READY_PATH;
 use crate::problem::{full, json_response};
 
-/// Longest time for the leader's duty to tell its state.
-const DUMP_TIME: Duration = Duration::from_millis(1_000);
+/// Maximum time for a leader loop to return its state.
+const DUMP_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Shared by all probes.
+/// State shared by the routes of the probe, metrics and dump.
 #[derive(Clone)]
 pub(crate) struct ProbeHandler {
     pub(crate) shared: Arc<NodeShared>,
@@ -34,7 +34,7 @@
 impl std::panic::RefUnwindSafe for ProbeHandler {}
 impl StateData for ProbeHandler {}
 
-/// Routes of the balancer's probe.
+/// Routes of the load balancer's readiness probe.
 pub(crate) fn ready_routes() -> Router {
     build_simple_router(|route| route.get(READY_PATH).to_new_handler(|| Ok(ready)))
 }
@@ -49,9 +49,9 @@
 
 fn ready(state: State) -> Pin<Box<HandlerFuture>> {
     Box::pin(async move {
-        let desk = ProbeHandler::borrow_from(&state);
+        let handler = ProbeHandler::borrow_from(&state);
         let mut response = Response::new(full(""));
-        if !desk.shared.ready() {
+        if !handler.shared.ready() {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         }
         Ok((state, response))
@@ -75,7 +75,7 @@
             };
             let (answer, answered) = oneshot::channel();
             let _ = input.offer(LeaderInput::Dump(answer));
-            let state = timeout(DUMP_TIME, answered).await.ok().and_then(Result::ok);
+            let state = timeout(DUMP_TIMEOUT, answered).await.ok().and_then(Result::ok);
             leading.insert(shard, state);
         }
         let view = shared.members.borrow().clone();
--- a/src/node/reachability.rs
+++ b/src/node/reachability.rs
@@ -1,4 +1,4 @@
-//! The duty of finding out, while the store is silent, whether this entry is cut off from the others.
+//! Loop that checks, while the store does not answer, whether this entry is cut off from the others.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,14 +15,14 @@
 use crate::node::shared::NodeShared;
 use crate::node::view::MemberView;
 
-/// This duty's name in the log.
+/// Name of this loop in the log.
 const DUTY: &str = "reach";
-/// Interval of looks at the store's silence.
-const LOOK_PAUSE: Duration = Duration::from_millis(250);
-/// Longest time for an answer: entries are two milliseconds apart, and a slow machine needs tens.
-const ANSWER_TIME: Duration = Duration::from_millis(250);
+/// Interval between checks of the store's last answer.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum time for an answer: the latency between entries is 2 ms, and a slow machine takes tens of milliseconds.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Asks other entries while the store does not answer.
+/// Calls other entries while the store does not answer.
 pub(crate) struct ReachabilityLoop {
     shared: Arc<NodeShared>,
     peers: PeerClient,
@@ -34,12 +34,12 @@
         Self { shared, peers: PeerClient::new(), reached: true }
     }
 
-    /// Runs for as long as the process.
+    /// Runs for the lifetime of the process.
     pub(crate) async fn run(mut self) {
         loop {
-            sleep(LOOK_PAUSE).await;
+            sleep(CHECK_INTERVAL).await;
             if !self.shared.store_is_late() {
-                self.note(true);
+                self.note_reached(true);
                 continue;
             }
             let reached = match self.shared.led_shards().is_empty() {
@@ -49,11 +49,11 @@
             if reached {
                 self.shared.note_peer();
             }
-            self.note(reached);
+            self.note_reached(reached);
         }
     }
 
-    /// Whether a leader answers: where there are several, one of another failure domain.
+    /// Whether a leader answers. Leaders of other failure domains are called if there are any, or else all leaders.
     async fn reaches_leader(&self) -> bool {
         let view = self.shared.members.borrow().clone();
         let leaders = view.leaders_beyond(&self.shared.settings.domain);
@@ -61,38 +61,39 @@
             note_no_leader(&self.shared, DUTY);
             return false;
         }
-        let asked = leaders.iter().map(|leader| self.answers(&view, leader));
-        futures_util::future::join_all(asked).await.contains(&true)
+        let calls = leaders.iter().map(|leader| self.is_leading(&view, leader));
+        futures_util::future::join_all(calls).await.contains(&true)
     }
 
-    async fn answers(&self, view: &MemberView, leader: &LeaderRecord) -> bool {
+    async fn is_leading(&self, view: &MemberView, leader: &LeaderRecord) -> bool {
         let shard = view.shard_led_by(leader);
         let call = LeaderCall::Reach;
-        let answer = self.peers.ask(leader.address, &shard, &call, ANSWER_TIME).await;
-        note_leader(&self.shared, DUTY, leader, ANSWER_TIME, &answer);
+        let answer = self.peers.ask(leader.address, &shard, &call, ANSWER_TIMEOUT).await;
+        note_leader(&self.shared, DUTY, leader, ANSWER_TIMEOUT, &answer);
         answer == Ok(LeaderAnswer::Leading)
     }
 
-    /// Whether an entry of another failure domain answers; where there is none, nothing can be told.
+    /// Whether an entry of another failure domain answers. Also true if no such entry is registered, as nothing can be
+    /// concluded then.
     async fn reaches_another_domain(&self) -> bool {
         let own = &self.shared.settings.domain;
         let members = self.shared.members.borrow().clone();
         let others = members.entries.values().filter(|entry| entry.domain != *own);
         let addresses: Vec<SocketAddr> = others.map(|entry| entry.address).collect();
-        let asked = addresses.iter().map(|address| self.ask(*address));
+        let calls = addresses.iter().map(|address| self.ask(*address));
         addresses.is_empty()
-            || futures_util::future::join_all(asked).await.iter().any(Option::is_some)
+            || futures_util::future::join_all(calls).await.iter().any(Option::is_some)
     }
 
     async fn ask(&self, address: SocketAddr) -> Option<LeaderAnswer> {
         let any = ShardId::from("");
-        self.peers.ask(address, &any, &LeaderCall::Reach, ANSWER_TIME).await.ok()
+        self.peers.ask(address, &any, &LeaderCall::Reach, ANSWER_TIMEOUT).await.ok()
     }
 
-    fn note(&mut self, reached: bool) {
+    fn note_reached(&mut self, reached: bool) {
         match (self.reached, reached) {
-            (true, false) => warn!("neither the store nor the leader can be reached"),
-            (false, true) => info!("the store or the leader can be reached again"),
+            (true, false) => warn!("neither the store nor a leader can be reached"),
+            (false, true) => info!("the store or a leader can be reached again"),
             _ => {}
         }
         self.reached = reached;
--- a/src/node/registry.rs
+++ b/src/node/registry.rs
@@ -1,4 +1,4 @@
-//! The duty of following which workers are registered, while this process leads.
+//! Loop that follows the registrations of workers while this process leads.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,12 +17,12 @@
 use crate::platform::{REGISTRATION_PREFIX, RegistrationError, decode_registration, worker_of_key};
 use crate::ring::RingSender;
 
-/// This duty's name in the log.
+/// Name of this loop in the log.
 const DUTY: &str = "registrations";
-/// Longest wait of a watch: a connection that has gone silent is noticed after it and the watch's
-/// slack, within the three seconds that count as a disruption.
+/// Maximum wait of a watch call: a dead connection is noticed after this time and the slack of the watch, within the
+/// three seconds that count as a disruption.
 const WATCH_WAIT: Duration = Duration::from_millis(2_000);
-/// Pause after a call that failed.
+/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Follows registrations in the store.
@@ -31,8 +31,8 @@
     scope: ShardScope,
     leader: RingSender<LeaderInput>,
     known: BTreeSet<WorkerId>,
-    /// Keys whose entries name no worker: each is logged when it turns so.
-    refused: BTreeSet<String>,
+    /// Keys with an unreadable registration; each is logged once, when it becomes unreadable.
+    unreadable: BTreeSet<String>,
 }
 
 impl RegistryLoop {
@@ -41,10 +41,10 @@
         scope: ShardScope,
         leader: RingSender<LeaderInput>,
     ) -> Self {
-        Self { shared, scope, leader, known: BTreeSet::new(), refused: BTreeSet::new() }
+        Self { shared, scope, leader, known: BTreeSet::new(), unreadable: BTreeSet::new() }
     }
 
-    /// Runs until the leader's duty has ended.
+    /// Runs until the leader loop ends.
     pub(crate) async fn run(mut self) {
         loop {
             let store = self.shared.dependencies.store.clone();
@@ -64,22 +64,22 @@
     }
 
     async fn read(&mut self) -> Result<u64, StoreError> {
-        let mut listed = BTreeSet::new();
+        let mut registered = BTreeSet::new();
         let mut after = String::new();
         let mut revision = None;
         loop {
             let page = self.shared.store.page(REGISTRATION_PREFIX, &after).await?;
-            // Changes since the first page are seen again by the watch.
+            // The watch starts at the first page's revision, so it repeats changes made while later pages are read.
             let first = *revision.get_or_insert(page.revision);
             for item in &page.items {
-                listed.extend(self.written(item).await);
+                registered.extend(self.handle_written(item).await);
             }
             match page.items.last() {
                 Some(last) if page.more => after = last.key.clone(),
                 _ => {
-                    let gone: Vec<WorkerId> = self.known.difference(&listed).cloned().collect();
+                    let gone: Vec<WorkerId> = self.known.difference(&registered).cloned().collect();
                     for worker in gone {
-                        self.removed(worker).await;
+                        self.handle_removed(worker).await;
                     }
                     return Ok(first);
                 }
@@ -95,12 +95,12 @@
                     for event in events {
                         match event {
                             KeyEvent::Written(item) => {
-                                self.written(&item).await;
+                                self.handle_written(&item).await;
                             }
                             KeyEvent::Removed(key) => {
-                                self.refused.remove(&key);
+                                self.unreadable.remove(&key);
                                 if let Some(worker) = worker_of_key(&key) {
-                                    self.removed(worker).await;
+                                    self.handle_removed(worker).await;
                                 }
                             }
                         }
@@ -111,11 +111,11 @@
         }
     }
 
-    async fn written(&mut self, item: &KeyItem) -> Option<WorkerId> {
+    async fn handle_written(&mut self, item: &KeyItem) -> Option<WorkerId> {
         match decode_registration(item) {
             Ok(registration) => {
                 let id = registration.id.clone();
-                self.refused.remove(&item.key);
+                self.unreadable.remove(&item.key);
                 self.known.insert(id.clone());
                 let shard = self.scope.plan.shard_of(&registration.domain, &registration.rack);
                 let input = match shard == self.scope.shard {
@@ -126,25 +126,25 @@
                 Some(id)
             }
             Err(error) => {
-                self.refuse(&item.key, &error).await;
+                self.handle_unreadable(&item.key, &error).await;
                 None
             }
         }
     }
 
-    /// Takes an entry that names no worker for none: what runs at a worker that it named goes on, and
-    /// nothing new is started there until the entry is whole.
-    async fn refuse(&mut self, key: &str, error: &RegistrationError) {
-        if self.refused.insert(key.to_owned()) {
+    /// Treats an unreadable registration as removed: what already runs on that worker continues, and nothing new is
+    /// started there until the registration is readable again.
+    async fn handle_unreadable(&mut self, key: &str, error: &RegistrationError) {
+        if self.unreadable.insert(key.to_owned()) {
             count_unreadable(UnreadableKind::Registration);
-            warn!(key, error:% = error; "a registration names no worker");
+            warn!(key, error:% = error; "unreadable worker registration");
         }
         if let Some(worker) = worker_of_key(key).filter(|worker| self.known.contains(worker)) {
-            self.removed(worker).await;
+            self.handle_removed(worker).await;
         }
     }
 
-    async fn removed(&mut self, worker: WorkerId) {
+    async fn handle_removed(&mut self, worker: WorkerId) {
         self.known.remove(&worker);
         self.leader.send(LeaderInput::Unregistered(worker)).await;
     }
--- a/src/node/shard_plan.rs
+++ b/src/node/shard_plan.rs
@@ -1,4 +1,4 @@
-//! The duty of agreeing how the workers are divided among leaders, when the deployment starts.
+//! Loop that agrees on the shard plan when a deployment starts.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,17 +14,17 @@
 use crate::node::shared::NodeShared;
 use crate::platform::{REGISTRATION_PREFIX, decode_registration};
 
-/// This duty's name in the log.
+/// Name of this loop in the log.
 const DUTY: &str = "division";
-/// Interval of looks at what is registered: workers write each 1.5 s, and all that start together are
-/// there after one such interval.
-const LOOK_PAUSE: Duration = Duration::from_millis(700);
-/// How long the division waits for workers: without any, one leader does.
-const LONGEST_WAIT: Duration = Duration::from_secs(8);
-/// Entries that propose a division: two more take the place of the first, should it fail.
-const PROPOSERS: u32 = 3;
+/// Interval between counts of the registered workers. Workers register every 1.5 s, so all that start together are
+/// counted after one such period.
+const CHECK_INTERVAL: Duration = Duration::from_millis(700);
+/// How long the plan waits for a stable number of workers; without any worker, one leader is enough.
+const MAX_WAIT: Duration = Duration::from_secs(8);
+/// Number of entries that propose a plan: two more replace the first if it fails.
+const MAX_PROPOSERS: u32 = 3;
 
-/// Proposes a division until there is one.
+/// Proposes a shard plan until one is agreed.
 pub(crate) struct ShardPlanLoop {
     shared: Arc<NodeShared>,
 }
@@ -34,18 +34,18 @@
         Self { shared }
     }
 
-    /// Runs until the division is agreed.
+    /// Runs until the plan is agreed.
     pub(crate) async fn run(self) {
-        let begun = Instant::now();
-        let mut before = BTreeMap::new();
+        let started = Instant::now();
+        let mut last_count = BTreeMap::new();
         loop {
-            sleep(LOOK_PAUSE).await;
+            sleep(CHECK_INTERVAL).await;
             let view = self.shared.members.borrow().clone();
             if view.plan.is_some() {
                 return;
             }
             let rank = view.rank(&ShardId::from(""), &self.shared.settings.name);
-            if !view.known || rank.before >= PROPOSERS {
+            if !view.known || rank.before >= MAX_PROPOSERS {
                 continue;
             }
             let counted = self.count_workers().await;
@@ -53,12 +53,12 @@
             let Ok(workers) = counted else {
                 continue;
             };
-            let settled = !workers.is_empty() && workers == before;
-            if settled || begun.elapsed() > LONGEST_WAIT {
+            let is_stable = !workers.is_empty() && workers == last_count;
+            if is_stable || started.elapsed() > MAX_WAIT {
                 let best = view.entries.values().map(|entry| entry.processor).fold(0.0, f64::max);
                 self.propose(&ShardPlan::for_fleet(&workers, best)).await;
             }
-            before = workers;
+            last_count = workers;
         }
     }
 
@@ -68,7 +68,7 @@
         let mut after = String::new();
         loop {
             let page = self.shared.store.page(REGISTRATION_PREFIX, &after).await?;
-            // Entries that name no worker are logged by the leader.
+            // The leader logs unreadable registrations.
             for registration in page.items.iter().filter_map(|item| decode_registration(item).ok())
             {
                 *workers.entry(registration.domain).or_default() += 1;
@@ -83,7 +83,7 @@
     async fn propose(&self, plan: &ShardPlan) {
         let value = match serde_json::to_vec(plan) {
             Ok(value) => Bytes::from(value),
-            Err(error) => return warn!(error:% = error; "the division could not be encoded"),
+            Err(error) => return warn!(error:% = error; "failed to encode the shard plan"),
         };
         let change = KeyTransaction {
             conditions: vec![(PLAN_KEY.to_owned(), 0)],
@@ -91,9 +91,9 @@
             removes: Vec::new(),
         };
         let shards = plan.shards().len();
-        info!(shards; "a division of the workers is proposed");
+        info!(shards; "proposing a shard plan");
         let result = self.shared.store.transact(&change).await;
-        // Whoever comes second finds the division of the first among the members.
+        // After a conflict, the members watch delivers the plan of the first proposer.
         self.shared.dependencies.store.tried(DUTY, &result);
     }
 }
