--- a/src/node/candidacy.rs
+++ b/src/node/candidacy.rs
@@ -20,12 +20,12 @@
 const RANK_PAUSE: Duration = Duration::from_millis(60);
 /// Number of ranks with a delay of their own; all later entries campaign at the same time.
 const RANKED_ENTRIES: u32 = 20;
-/// Delay of the other failure domains while no entry of the shard's own domain is registered. The domain is then cut off,
-/// for 5 to 7 s on users' deployments, and its leader resumes with its state in memory once it is reachable again.
+/// Delay of the other failure domains while no entry of the shard's own domain is registered. The domain is then cut
+/// off, for 5 to 7 s on users' deployments, and its leader resumes with its state in memory once it is reachable again.
 const CUT_OFF_PAUSE: Duration = Duration::from_millis(7_000);
 /// Delay of weak machines while a strong one that was seen before is not registered. Entries that all restart, or whose
-/// registrations have expired, register within a second of each other, and a weak machine needs many seconds to read the
-/// jobs.
+/// registrations have expired, register within a second of each other, and a weak machine needs many seconds to read
+/// the jobs.
 const STRONG_MACHINE_PAUSE: Duration = Duration::from_millis(1_500);
 /// Capacity of the input ring of the leader loop.
 const LEADER_RING_SIZE: usize = 8_192;
@@ -123,8 +123,8 @@
             .filter(|_| !outlasted_predecessor && !view.has_ended(&self.predecessor))
     }
 
-    /// Records that a call sent at `sent` renewed or created the lease in the store. A new lease does not extend the term
-    /// of a leader elected under the previous one: another may have been elected in between.
+    /// Records that a call sent at `sent` renewed or created the lease in the store. A new lease does not extend the
+    /// term of a leader elected under the previous one: another may have been elected in between.
     pub(crate) fn note_renewal(&self, sent: Instant) {
         let is_current = |own: &&Leadership| !own.lease_ended && !own.in_doubt;
         if let Some(leadership) = self.leadership.as_ref().filter(is_current) {
@@ -209,7 +209,7 @@
         let name = &self.shared.settings.name;
         match () {
             () if view.is_cut_off(&self.shard) => AwaitedEntry::OfDomain,
-            () if view.misses_strong(name) => AwaitedEntry::Strong,
+            () if view.lacks_strong_machine(name) => AwaitedEntry::Strong,
             () => AwaitedEntry::Ranked,
         }
     }
@@ -222,7 +222,7 @@
         let rank = view.rank(&self.shard, &self.shared.settings.name);
         let turn = RANK_PAUSE * (rank.before.min(RANKED_ENTRIES) + 1);
         match awaited {
-            AwaitedEntry::OfDomain if rank.away => CUT_OFF_PAUSE + turn,
+            AwaitedEntry::OfDomain if rank.in_other_domain => CUT_OFF_PAUSE + turn,
             AwaitedEntry::Strong => STRONG_MACHINE_PAUSE + turn,
             AwaitedEntry::OfDomain | AwaitedEntry::Ranked => turn,
         }
--- a/src/node/dependency.rs
+++ b/src/node/dependency.rs
@@ -1,4 +1,4 @@
-//! What a process depends on, and the lines and counts of its losses: the same rule for all duties.
+//! Dependencies of a process, and the log lines and metrics of their losses, by the same rule for all loops.
 
 mod monitor;
 
@@ -11,14 +11,14 @@
 
 pub(crate) use monitor::{DependencyEvent, DependencyMonitor, RetryMode};
 
-/// Interval of looks for losses that no duty suffers from any more: well under the second between lines.
-const LOOK_PAUSE: Duration = Duration::from_millis(250);
+/// Interval between checks for losses that have ended: well below the minimum of 1 s between log lines.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// All dependencies of a process.
 #[derive(Clone, Debug)]
 pub(crate) struct NodeDependencies {
     pub(crate) store: DependencyLog,
-    /// The leader, as another entry sees it.
+    /// The leader, as seen from another entry.
     pub(crate) leader: DependencyLog,
     pub(crate) advisor: DependencyLog,
 }
@@ -29,10 +29,10 @@
         Self { store, leader, advisor }
     }
 
-    /// Looks at all of them for as long as the process runs.
+    /// Checks all dependencies for the lifetime of the process.
     pub(crate) async fn run(self) {
         loop {
-            sleep(LOOK_PAUSE).await;
+            sleep(CHECK_INTERVAL).await;
             self.store.look();
             self.leader.look();
             self.advisor.look();
@@ -40,26 +40,26 @@
     }
 }
 
-/// Where duties report how their tries of one dependency went.
+/// Takes the results of the loops' calls to one dependency, and logs and counts its losses.
 #[derive(Clone, Debug)]
 pub(crate) struct DependencyLog {
     name: &'static str,
-    rule: Arc<Mutex<DependencyMonitor>>,
+    monitor: Arc<Mutex<DependencyMonitor>>,
 }
 
 impl DependencyLog {
     fn new(name: &'static str) -> Self {
-        let log = Self { name, rule: Arc::default() };
-        log.show(false);
+        let log = Self { name, monitor: Arc::default() };
+        log.update_metrics(false);
         log
     }
 
-    /// A try of a duty that goes on trying has failed.
+    /// Records a failed call of a loop that retries forever.
     pub(crate) fn failed(&self, duty: &str, failure: impl Display) {
         self.note_failure(duty, RetryMode::Steady, &failure);
     }
 
-    /// A try that there was need of has ended.
+    /// Records the result of a call made on demand.
     pub(crate) fn tried<T, E: Display>(&self, duty: &str, result: &Result<T, E>) {
         match result {
             Ok(_) => self.answered(duty),
@@ -67,47 +67,47 @@
         }
     }
 
-    /// A try of a duty was answered.
+    /// Records that a call of a loop was answered.
     pub(crate) fn answered(&self, duty: &str) {
-        self.take(|rule| rule.answered(duty));
+        self.apply(|monitor| monitor.answered(duty));
     }
 
     fn look(&self) {
-        self.take(DependencyMonitor::look);
+        self.apply(DependencyMonitor::look);
     }
 
     fn note_failure(&self, duty: &str, mode: RetryMode, failure: &dyn Display) {
         metrics::counter!("kelplink_dependency_tries_failed_total", "dependency" => self.name)
             .increment(1);
-        self.take(|rule| rule.failed(duty, mode, failure.to_string()));
+        self.apply(|monitor| monitor.failed(duty, mode, failure.to_string()));
     }
 
-    /// Puts an event through the rule, and gives what follows for log and metrics.
-    fn take(&self, event: impl FnOnce(&mut DependencyMonitor) -> Option<DependencyEvent>) {
-        let (before, lost, line) = {
-            let mut rule = self.rule.lock().unwrap_or_else(PoisonError::into_inner);
-            let before = rule.is_lost();
-            let line = event(&mut rule);
-            (before, rule.is_lost(), line)
+    /// Applies an input to the monitor, then updates the metrics and logs the resulting event.
+    fn apply(&self, input: impl FnOnce(&mut DependencyMonitor) -> Option<DependencyEvent>) {
+        let (before, lost, event) = {
+            let mut monitor = self.monitor.lock().unwrap_or_else(PoisonError::into_inner);
+            let before = monitor.is_lost();
+            let event = input(&mut monitor);
+            (before, monitor.is_lost(), event)
         };
         if lost != before {
-            self.show(lost);
+            self.update_metrics(lost);
         }
-        if let Some(line) = line {
-            self.write(line);
+        if let Some(event) = event {
+            self.log_event(event);
         }
     }
 
-    fn show(&self, lost: bool) {
+    fn update_metrics(&self, lost: bool) {
         let name = self.name;
         metrics::gauge!("kelplink_dependency_lost", "dependency" => name).set(u32::from(lost));
         let losses = metrics::counter!("kelplink_dependency_losses_total", "dependency" => name);
         losses.increment(u64::from(lost));
     }
 
-    fn write(&self, line: DependencyEvent) {
+    fn log_event(&self, event: DependencyEvent) {
         let dependency = self.name;
-        match line {
+        match event {
             DependencyEvent::Lost { duty, failure, answer_age, short_losses } => {
                 let answer_age_ms =
                     answer_age.map_or("none".to_owned(), |age| millis(age).to_string());
--- a/src/node/dependency/monitor.rs
+++ b/src/node/dependency/monitor.rs
@@ -1,84 +1,84 @@
-//! When the loss of a dependency is worth a line.
+//! Decides when the loss of a dependency is logged.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Shortest time from a line to the next, unless that says that the dependency is back.
-const LINE_PAUSE: Duration = Duration::from_millis(1_000);
-/// A duty that tries without end and has not failed again for this long has ended. The rarest tries are
-/// watches of a silent store, one in 2.8 s.
-const STEADY_MEMORY: Duration = Duration::from_millis(3_500);
-/// A duty that tries where there is need and has not failed again for this long has no more need: groups
-/// that the store leaves unanswered are sent each 0.86 s.
-const NEED_MEMORY: Duration = Duration::from_millis(1_000);
+/// Minimum time between log lines, except before the line that the dependency is back.
+const MIN_LINE_GAP: Duration = Duration::from_millis(1_000);
+/// How long a failure counts for a loop that retries forever: one without another failure for this long has ended. The
+/// least frequent calls are watches of an unresponsive store, one in 2.8 s.
+const STEADY_RETENTION: Duration = Duration::from_millis(3_500);
+/// How long a failure counts for a loop that calls on demand: one without another failure for this long has nothing
+/// left to call for. Groups that the store leaves unanswered are sent every 0.86 s.
+const ON_DEMAND_RETENTION: Duration = Duration::from_millis(1_000);
 
-/// How long a duty goes on trying.
+/// Whether a loop keeps retrying a call that failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum RetryMode {
-    /// Without end.
+    /// Retries forever.
     Steady,
-    /// Where there is need.
+    /// Calls only on demand.
     OnDemand,
 }
 
 impl RetryMode {
     /// How long a failure counts without another.
-    fn memory(self) -> Duration {
+    fn retention(self) -> Duration {
         match self {
-            Self::Steady => STEADY_MEMORY,
-            Self::OnDemand => NEED_MEMORY,
+            Self::Steady => STEADY_RETENTION,
+            Self::OnDemand => ON_DEMAND_RETENTION,
         }
     }
 }
 
-/// A line that is due.
+/// An event to log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) enum DependencyEvent {
-    /// The first try that failed.
+    /// A first call has failed.
     Lost {
         duty: String,
         failure: String,
-        /// Age of the last answer; `None` where there was none yet.
+        /// Age of the last answer; `None` if there was none yet.
         answer_age: Option<Duration>,
-        /// Losses since the last line that were over before their line was due.
+        /// Losses since the last line that ended before they could be logged.
         short_losses: u64,
     },
-    /// Tries go on to fail.
+    /// Calls continue to fail.
     StillLost {
-        /// All duties that fail now.
+        /// All loops whose calls fail now.
         duties: Vec<String>,
-        /// Of the last try.
+        /// Failure of the last call.
         failure: String,
         away: Duration,
         tries_failed: u64,
     },
-    /// All duties that failed have an answer, or do not ask any more.
+    /// All loops that had failures have an answer, or no longer call.
     Back {
-        /// From the first try that failed.
+        /// Time since the first failed call.
         away: Duration,
         tries_failed: u64,
     },
 }
 
-/// A loss that is not over.
+/// A loss that has not ended.
 #[derive(Debug)]
 struct DependencyLoss {
     since: Instant,
-    /// When a try failed last, or when one that had failed was answered.
+    /// Time of the last failed call, or of the last answer to a loop whose call had failed.
     latest: Instant,
     tries_failed: u64,
-    /// Whether its first line was given.
-    told: bool,
-    /// Until when the last failure of each duty that has no answer since counts.
+    /// Whether the loss was logged.
+    reported: bool,
+    /// For each loop without an answer since its last failure: until when that failure counts.
     failing: BTreeMap<String, Instant>,
 }
 
 impl DependencyLoss {
     fn new(now: Instant) -> Self {
         let failing = BTreeMap::new();
-        Self { since: now, latest: now, tries_failed: 0, told: false, failing }
+        Self { since: now, latest: now, tries_failed: 0, reported: false, failing }
     }
 
     fn away(&self) -> Duration {
@@ -86,7 +86,7 @@
     }
 }
 
-/// One line when a dependency is lost, one when it is back, and at most one a second between.
+/// Tracks the loss of one dependency: one event when it is lost, one when it is back, and at most one a second between.
 #[derive(Debug, Default)]
 pub(crate) struct DependencyMonitor {
     loss: Option<DependencyLoss>,
@@ -101,7 +101,7 @@
         self.loss.is_some()
     }
 
-    /// A try of a duty has failed.
+    /// Records that a call of a loop has failed.
     pub(crate) fn failed(
         &mut self,
         duty: &str,
@@ -113,17 +113,17 @@
         loss.latest = now;
         loss.tries_failed += 1;
         let until = loss.failing.entry(duty.to_owned()).or_insert(now);
-        *until = (*until).max(now + mode.memory());
-        if self.last_line.is_some_and(|at| now.saturating_duration_since(at) < LINE_PAUSE) {
+        *until = (*until).max(now + mode.retention());
+        if self.last_line.is_some_and(|at| now.saturating_duration_since(at) < MIN_LINE_GAP) {
             return None;
         }
         self.last_line = Some(now);
-        if loss.told {
+        if loss.reported {
             let duties = loss.failing.keys().cloned().collect();
             let (away, tries_failed) = (loss.away(), loss.tries_failed);
             return Some(DependencyEvent::StillLost { duties, failure, away, tries_failed });
         }
-        loss.told = true;
+        loss.reported = true;
         Some(DependencyEvent::Lost {
             duty: duty.to_owned(),
             failure,
@@ -132,7 +132,7 @@
         })
     }
 
-    /// A try of a duty was answered.
+    /// Records that a call of a loop was answered.
     pub(crate) fn answered(&mut self, duty: &str) -> Option<DependencyEvent> {
         let now = Instant::now();
         self.answered = Some(now);
@@ -144,7 +144,7 @@
         self.look()
     }
 
-    /// Ends a loss of which no duty suffers any more.
+    /// Ends the loss once no failure counts any more.
     pub(crate) fn look(&mut self) -> Option<DependencyEvent> {
         let now = Instant::now();
         let loss = self.loss.as_mut()?;
@@ -153,7 +153,7 @@
             return None;
         }
         let loss = self.loss.take()?;
-        if !loss.told {
+        if !loss.reported {
             self.short_losses += 1;
             return None;
         }
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -141,8 +141,8 @@
         }
         warn!(late_ms = late.as_millis() as u64, weaker; "this machine is too slow to lead");
         self.lateness.forget();
-        // The term ends only once the store records it: otherwise the leader key would stay, and the shard would have no
-        // leader for as long as this entry is registered.
+        // The term ends only once the store records it: otherwise the leader key would stay, and the shard would have
+        // no leader for as long as this entry is registered.
         if self.hand_over().await {
             self.pause_campaigns();
         }
@@ -240,8 +240,8 @@
                 self.candidacy(shard).end().await;
                 self.remove_leader_key(shard, view).await;
             }
-            // An earlier removal got no answer. While the key exists nobody campaigns, so the shard would have no leader
-            // for as long as this entry is registered.
+            // An earlier removal got no answer. While the key exists nobody campaigns, so the shard would have no
+            // leader for as long as this entry is registered.
             CandidacyState::KeyLeft => self.remove_leader_key(shard, view).await,
         }
     }
--- a/src/node/election/handover.rs
+++ b/src/node/election/handover.rs
@@ -45,9 +45,9 @@
         }
     }
 
-    /// Records the next leader of a shard in the store, keeps leading until the store has confirmed it, and then notifies
-    /// the successor. An election instead would leave the shard without a leader for several calls to the store, or until
-    /// a store that is down has recovered.
+    /// Records the next leader of a shard in the store, keeps leading until the store has confirmed it, and then
+    /// notifies the successor. An election instead would leave the shard without a leader for several calls to the
+    /// store, or until a store that is down has recovered.
     async fn transfer_leadership(&mut self, shard: &ShardId) -> bool {
         let view = self.shared.members.borrow().clone();
         let shard_view = view.shard(shard);
@@ -217,10 +217,10 @@
     LeaderRecord { entry: offer.entry.clone(), address: offer.address, start: offer.start, epoch }
 }
 
-/// Builds the transaction that ends a leader's term under `epoch`. With an offer it records the successor; without one it
-/// leaves the choice to an election, whose winner must assume that `running_predecessor` may still run. Returns `None` if
-/// the shard has a later leader: a transaction on the condition of that leader's epoch would end its term and record that
-/// no earlier leader still runs, so that tasks would run twice.
+/// Builds the transaction that ends a leader's term under `epoch`. With an offer it records the successor; without one
+/// it leaves the choice to an election, whose winner must assume that `running_predecessor` may still run. Returns
+/// `None` if the shard has a later leader: a transaction on the condition of that leader's epoch would end its term and
+/// record that no earlier leader still runs, so that tasks would run twice.
 pub(crate) fn succession_change(
     shard: &ShardId,
     shard_view: &ShardView,
--- a/src/node/election/lease_tests.rs
+++ b/src/node/election/lease_tests.rs
@@ -75,8 +75,8 @@
     expect_false!(election.candidacy(&undivided()).leads());
 }
 
-// The same if the notification is lost: the entry would begin the term because of the leader key that it read before its
-// lease ended.
+// The same if the notification is lost: the entry would begin the term because of the leader key that it read before
+// its lease ended.
 #[gtest]
 #[tokio::test]
 async fn a_term_won_under_an_ended_lease_does_not_begin() {
@@ -95,8 +95,8 @@
     expect_false!(election.candidacy(&undivided()).leads());
 }
 
-// The transaction that ends the term takes effect and its answer is lost: the lease is still valid, but the leader key is
-// gone.
+// The transaction that ends the term takes effect and its answer is lost: the lease is still valid, but the leader key
+// is gone.
 #[gtest]
 #[tokio::test]
 async fn a_leader_with_an_unanswered_handover_does_not_deny_jobs() {
@@ -112,8 +112,9 @@
     expect_that!(answer_for_unknown_job(&shared).await, some(eq(&LeaderAnswer::NotLeading)));
 }
 
-// The lease ends before the answer to the election arrives, and the members watch delivers that first. If the late answer
-// then put the leader record into the view, it stayed there: the leader got no renewal and never campaigned again.
+// The lease ends before the answer to the election arrives, and the members watch delivers that first. If the late
+// answer then put the leader record into the view, it stayed there: the leader got no renewal and never campaigned
+// again.
 #[gtest]
 #[tokio::test]
 async fn an_entry_may_campaign_again_if_its_lease_ended_before_the_election_was_answered() {
@@ -168,8 +169,8 @@
     expect_false!(election.candidacy(&undivided()).in_doubt());
 }
 
-// The leader loop ends by itself, and the transaction that removes its key gets no answer. Unless it is sent again, the key
-// exists as long as the entry's lease, and nobody campaigns.
+// The leader loop ends by itself, and the transaction that removes its key gets no answer. Unless it is sent again, the
+// key exists as long as the entry's lease, and nobody campaigns.
 #[gtest]
 #[tokio::test]
 async fn an_unanswered_removal_of_the_leader_key_is_sent_again() {
--- a/src/node/handover_inbox.rs
+++ b/src/node/handover_inbox.rs
@@ -14,9 +14,9 @@
 use crate::node::keys::LeaseId;
 use crate::node::records::LeaderTerm;
 
-/// How long a recorded successor waits for the notification that the previous leader has ended: a store that is a hundred
-/// times slower than usual takes 0.4 s for the transaction. Without the notification the successor leads as after an
-/// election.
+/// How long a recorded successor waits for the notification that the previous leader has ended: a store that is a
+/// hundred times slower than usual takes 0.4 s for the transaction. Without the notification the successor leads as
+/// after an election.
 const TERM_WAIT: Duration = Duration::from_millis(1_500);
 
 /// Offer of an entry to lead a shard next.
@@ -50,8 +50,8 @@
         *lock(&self.lease) = lease;
     }
 
-    /// Returns the lease under which this entry can lead a shard after `epoch`, if it can, and expects that term from then
-    /// on.
+    /// Returns the lease under which this entry can lead a shard after `epoch`, if it can, and expects that term from
+    /// then on.
     pub(crate) fn name(&self, shard: ShardId, epoch: LeaderEpoch) -> Option<LeaseId> {
         let lease = (*lock(&self.lease))?;
         lock(&self.expected_terms).insert(shard, (epoch + 1, Instant::now() + TERM_WAIT));
--- a/src/node/keys.rs
+++ b/src/node/keys.rs
@@ -1,4 +1,4 @@
-//! Keys, changes and watches of the store, as the duties use them.
+//! Key names, transactions and watch events of the store.
 
 use bytes::Bytes;
 use thiserror::Error;
@@ -7,13 +7,13 @@
 
 /// Prefix of all keys that entries watch.
 pub(crate) const MEMBER_PREFIX: &str = "m/";
-/// Leaders, each under its lease: one key, or one a shard.
+/// Key of the leader, written under its lease; each shard has its own.
 const LEADER_KEY: &str = "m/leader";
-/// Numbers of elections; its revision is the condition of all that a leader writes.
+/// Key of the epoch record, which counts elections. Everything that a leader writes is conditional on its revision.
 const EPOCH_KEY: &str = "m/epoch";
-/// The division of the workers among leaders.
+/// Key of the shard plan, which divides the workers among leaders.
 pub(crate) const PLAN_KEY: &str = "m/shards";
-/// Prefix of the keys of entries, each under its lease.
+/// Prefix of the keys of entries, each written under the entry's lease.
 pub(crate) const ENTRY_PREFIX: &str = "m/entry/";
 
 /// Key of a shard's leader.
@@ -21,22 +21,22 @@
     sharded(LEADER_KEY, shard)
 }
 
-/// Key of the number of a shard's elections.
+/// Key of a shard's epoch record.
 pub(crate) fn epoch_key(shard: &ShardId) -> String {
     sharded(EPOCH_KEY, shard)
 }
 
-/// The shard whose leader a key names.
+/// Returns the shard if the key is a leader key.
 pub(crate) fn shard_of_leader(key: &str) -> Option<ShardId> {
     shard_of(key, LEADER_KEY)
 }
 
-/// The shard whose elections a key counts.
+/// Returns the shard if the key is an epoch key.
 pub(crate) fn shard_of_epoch(key: &str) -> Option<ShardId> {
     shard_of(key, EPOCH_KEY)
 }
 
-/// A key of which each shard has one; where there is one shard, it is the plain key.
+/// Name of a key that exists once per shard; with a single shard it is the plain key.
 pub(crate) fn sharded(key: &str, shard: &ShardId) -> String {
     match shard.is_empty() {
         true => key.to_owned(),
@@ -52,24 +52,24 @@
     }
 }
 
-/// Name of a lease in the store.
+/// Id of a lease in the store.
 pub(crate) type LeaseId = u64;
 
 /// A key with its value.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(crate) struct KeyItem {
     pub(crate) key: String,
-    /// Empty where the store's text for it cannot be read.
+    /// Empty if the store's encoding of the value is unreadable.
     pub(crate) value: Bytes,
     /// Revision of its last change.
     pub(crate) revision: u64,
 }
 
-/// Some keys in order.
+/// A page of keys in order.
 #[derive(Clone, Debug)]
 pub(crate) struct KeyPage {
     pub(crate) items: Vec<KeyItem>,
-    /// Whether there are more after the last.
+    /// Whether there are more keys after the last one.
     pub(crate) more: bool,
     /// The store's revision when it answered.
     pub(crate) revision: u64,
@@ -82,12 +82,12 @@
     Removed(String),
 }
 
-/// What a watch brought.
+/// Result of a watch call.
 #[derive(Clone, Debug)]
 pub(crate) enum WatchOutcome {
-    /// Changes, none where the time was over first, and the revision to go on from.
+    /// Changes, or none if the wait ended first, and the revision to continue from.
     Events { events: Vec<KeyEvent>, revision: u64 },
-    /// The store has forgotten what came after the revision: read all again.
+    /// The store no longer has the history after the revision: everything must be read again.
     HistoryGone,
 }
 
@@ -96,54 +96,53 @@
 pub(crate) struct KeyWrite {
     pub(crate) key: String,
     pub(crate) value: Bytes,
-    /// Lease with which the key goes.
+    /// Lease whose end removes the key.
     pub(crate) lease: Option<LeaseId>,
 }
 
-/// Changes under conditions, all or nothing.
+/// Conditional changes that are applied all or not at all.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeyTransaction {
-    /// Revision that each key must have; 0 where it must not exist.
+    /// Revision that each key must have; 0 if it must not exist.
     pub(crate) conditions: Vec<(String, u64)>,
     pub(crate) writes: Vec<KeyWrite>,
     pub(crate) removes: Vec<String>,
 }
 
-/// What became of a transaction.
+/// Outcome of a transaction.
 #[derive(Clone, Debug)]
 pub(crate) enum TransactionOutcome {
-    /// It took effect and gave this revision.
+    /// It took effect at this revision.
     Done(u64),
-    /// A condition did not hold; the keys of the conditions as they are, without those that do not
-    /// exist.
+    /// A condition did not hold. Contains the current keys of the conditions, without those that do not exist.
     Conflict(Vec<KeyItem>),
     /// The lease has ended.
     NoLease,
 }
 
-/// How a call to the store failed.
+/// Failure of a call to the store.
 #[derive(Clone, Debug)]
 #[derive(Error)]
 pub(crate) enum StoreError {
-    /// Nothing was done.
+    /// The call had no effect.
     #[error("not done: {0}")]
     NotDone(String),
-    /// It may have taken effect, or may still do so.
+    /// The call may have taken effect, or may still do so.
     #[error("unknown: {0}")]
     Unknown(String),
 }
 
-/// What of the store could not be read.
+/// Kind of an unreadable item of the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum UnreadableKind {
-    /// A place in a list without a key.
+    /// An element of a list that has no key.
     Item,
     /// A worker's registration.
     Registration,
     Configuration,
-    /// An entry, the leader or the count of elections.
+    /// An entry, a leader or an epoch record.
     Member,
-    /// A job, its progress or the workers in use.
+    /// A job record, its progress or the workers in use.
     Ledger,
 }
 
@@ -159,7 +158,7 @@
     }
 }
 
-/// Counts what could not be read; whoever finds it writes the log line, with the key.
+/// Counts an unreadable item. The caller logs it with its key.
 pub(crate) fn count_unreadable(kind: UnreadableKind) {
     metrics::counter!("kelplink_unreadable_total", "kind" => kind.label()).increment(1);
 }
--- a/src/node/ledger.rs
+++ b/src/node/ledger.rs
@@ -1,4 +1,4 @@
-//! Jobs in the store: reading them all at a takeover, and storing groups of changes.
+//! Ledger of jobs in the store: read as a whole at a takeover, written in groups of changes.
 
 pub(crate) mod group_sender;
 mod shard_keys;
@@ -30,14 +30,14 @@
 
 type Result<T> = std::result::Result<T, StoreError>;
 
-/// Name in the log of reading and writing the ledger.
+/// Name of ledger reads and writes in the log.
 pub(crate) const LEDGER_DUTY: &str = "ledger";
 /// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// A group that took longer is worth a warning: callers wait for it.
+/// A group that takes longer is logged as a warning, as callers wait for it.
 const SLOW_GROUP: Duration = Duration::from_millis(500);
 
-/// What the conditions of a leader's groups stand on.
+/// Epoch and revisions that the conditions of a leader's next group refer to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct LedgerHead {
     pub(crate) epoch: LeaderEpoch,
@@ -48,13 +48,13 @@
 
 /// Why the conditions of a group did not hold.
 enum GroupConflict {
-    /// An earlier send of it has taken effect.
+    /// An earlier send of the group has taken effect.
     Stored,
-    /// The leader has another epoch by now, and tries again.
+    /// The leader continues under a later epoch, and the group is sent again.
     Renewed,
-    /// Other shards have some of its jobs.
+    /// Other shards already have these jobs of the group.
     Taken(Vec<GraphId>),
-    /// Another leads.
+    /// Another entry leads.
     Deposed,
 }
 
@@ -79,7 +79,7 @@
         Self { keys: ShardKeys { shard }, store, tries, head: Arc::new(Mutex::new(head)) }
     }
 
-    /// The same leader goes on under a later epoch.
+    /// Continues under a later epoch of the same leader.
     pub(crate) fn renew(&self, epoch: LeaderEpoch, epoch_revision: u64) {
         self.change(|head| {
             head.epoch = epoch;
@@ -95,19 +95,18 @@
         change(&mut self.head.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Reads everything. Nobody else can write below the epoch that this leader was given, so the
-    /// pages belong together. Both kinds of keys are read at once, since callers wait meanwhile: 740 jobs
-    /// took 151 ms one after the other, 112 ms so.
-    /// A page may take `time`.
+    /// Reads the whole ledger; each page may take `time`. Only the leader of the current epoch can write, so the pages
+    /// are consistent. Job records and progress are read concurrently because callers wait meanwhile: 740 jobs took 112
+    /// ms, and 151 ms when read one kind after the other.
     pub(crate) async fn load(&self, time: Duration) -> Result<RestoredState> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let (group_key, workers_key) = (self.keys.group(), self.keys.workers());
         let (records_prefix, progress_prefix) = (self.keys.record(""), self.keys.progress(""));
         let read = try_join4(
             self.store.get(&group_key),
             self.store.get(&workers_key),
-            self.all::<GraphRecord>(&records_prefix, time),
-            self.all::<GraphProgress>(&progress_prefix, time),
+            self.read_all::<GraphRecord>(&records_prefix, time),
+            self.read_all::<GraphProgress>(&progress_prefix, time),
         )
         .await;
         self.tries.tried(LEDGER_DUTY, &read);
@@ -115,13 +114,13 @@
         self.change(|head| head.group_revision = group.map_or(0, |item| item.revision));
         let workers = workers.map_or_else(|| Some(Vec::new()), |item| decode(&item));
         let jobs = join(records, progress);
-        info!(jobs = jobs.len(), took_ms = begun.elapsed().as_millis() as u64; "ledger read");
+        info!(jobs = jobs.len(), took_ms = started.elapsed().as_millis() as u64; "ledger read");
         let unknown_workers = workers.is_none();
         Ok(RestoredState { jobs, workers: workers.unwrap_or_default(), unknown_workers })
     }
 
-    /// Reads all values under a prefix; `None` stands for one that is unreadable.
-    async fn all<T: DeserializeOwned>(
+    /// Reads all values under a prefix; an unreadable one is `None`.
+    async fn read_all<T: DeserializeOwned>(
         &self,
         prefix: &str,
         time: Duration,
@@ -141,24 +140,24 @@
         }
     }
 
-    /// Stores a group, however long it takes, or finds that another leads or the store refuses it.
+    /// Stores a group, retrying until it is stored, another entry leads, or the store has refused it.
     ///
-    /// The group is sent unchanged until it is answered: if a send without an answer took effect, or
-    /// still does, the next finds the group's own id in the store.
+    /// The group is sent unchanged until it is answered: if an unanswered send took effect, or still does, the next one
+    /// finds the group's id in the store.
     pub(crate) async fn store(&self, group: &CommitGroup) -> GroupOutcome {
-        let begun = Instant::now();
+        let started = Instant::now();
         let head = self.head();
         let id = format!("{}:{}", head.epoch, group.number);
         let (mut writes, removes) = self.keys.changes(&id, group);
-        let mut added = self.keys.indexed(group);
+        let mut added = self.keys.jobs_to_index(group);
         let mut taken = Vec::new();
-        let mut sure = true;
+        let mut all_not_done = true;
         let outcome = loop {
             let head = self.head();
             let conditions = self.keys.conditions(head, &added);
             let change =
                 KeyTransaction { conditions, writes: writes.clone(), removes: removes.clone() };
-            match self.sent(&id, &change).await {
+            match self.send_once(&id, &change).await {
                 Ok(TransactionOutcome::Done(revision)) => {
                     self.change(|head| head.group_revision = revision);
                     break GroupOutcome::Stored { taken };
@@ -169,8 +168,9 @@
                         GroupConflict::Deposed => break GroupOutcome::Deposed,
                         GroupConflict::Renewed => sleep(RETRY_PAUSE).await,
                         GroupConflict::Taken(jobs) => {
-                            writes
-                                .retain(|set| !jobs.iter().any(|job| self.keys.belongs(set, job)));
+                            writes.retain(|write| {
+                                !jobs.iter().any(|job| self.keys.is_of_job(write, job))
+                            });
                             added.retain(|job| !jobs.contains(job));
                             taken.extend(jobs);
                         }
@@ -178,24 +178,24 @@
                 }
                 Ok(TransactionOutcome::NoLease) => sleep(RETRY_PAUSE).await,
                 Err(failure) => {
-                    sure &= matches!(failure, StoreError::NotDone(_));
-                    if sure {
+                    all_not_done &= matches!(failure, StoreError::NotDone(_));
+                    if all_not_done {
                         break GroupOutcome::Refused;
                     }
                     sleep(RETRY_PAUSE).await;
                 }
             }
         };
-        let took = begun.elapsed();
-        metrics::histogram!("kelplink_group_seconds").record(took.as_secs_f64());
-        if took > SLOW_GROUP {
-            warn!(group = id, took_ms = took.as_millis() as u64, outcome:?; "a group took long");
+        let elapsed = started.elapsed();
+        metrics::histogram!("kelplink_group_seconds").record(elapsed.as_secs_f64());
+        if elapsed > SLOW_GROUP {
+            warn!(group = id, took_ms = elapsed.as_millis() as u64, outcome:?; "storing a group took long");
         }
         outcome
     }
 
     /// Sends a group once.
-    async fn sent(&self, id: &str, change: &KeyTransaction) -> Result<TransactionOutcome> {
+    async fn send_once(&self, id: &str, change: &KeyTransaction) -> Result<TransactionOutcome> {
         let (store, key) = (&self.store, &self.keys.group());
         let result = GroupSender { store, key, id }.send(change).await;
         let tried = match &result {
@@ -209,7 +209,7 @@
         result
     }
 
-    /// What a conflict means, where the index keys of the jobs `added` were to be new.
+    /// Returns the cause of a conflict of a group whose `added` jobs must not be in the index yet.
     fn conflict(
         &self,
         id: &str,
@@ -227,32 +227,32 @@
         }
         let epoch = items.iter().find(|item| item.key == epoch_key).map(|item| item.revision);
         let current = self.head();
-        let renewed = current != head || epoch == Some(current.epoch_revision);
+        let leads_still = current != head || epoch == Some(current.epoch_revision);
         let same_group = group.map_or(0, |item| item.revision) == current.group_revision;
-        let known = |job: &&GraphId| items.iter().any(|item| item.key == index_key(job));
-        let taken: Vec<GraphId> = added.iter().filter(known).cloned().collect();
-        match renewed && same_group {
+        let is_indexed = |job: &&GraphId| items.iter().any(|item| item.key == index_key(job));
+        let taken: Vec<GraphId> = added.iter().filter(is_indexed).cloned().collect();
+        match leads_still && same_group {
             true if taken.is_empty() => GroupConflict::Renewed,
-            // What stands in the index keeps any earlier send of the whole group from taking effect.
+            // The existing index keys also keep any earlier send of the group from taking effect.
             true => GroupConflict::Taken(taken),
             false => {
-                warn!(group = id, epoch = head.epoch; "a group was refused: another leads");
+                warn!(group = id, epoch = head.epoch; "a group was refused: another entry leads");
                 GroupConflict::Deposed
             }
         }
     }
 
-    /// Reads which shard has a job, where there are several.
+    /// Reads from the index which shard has a job; only deployments with several shards have an index.
     pub(crate) async fn shard_of(store: &PlatformStore, id: &str) -> Result<Option<ShardId>> {
         let item = store.get(&index_key(id)).await?;
         let unreadable = || StoreError::Unknown(format!("the shard of job {id} is unreadable"));
         let name = |item: KeyItem| String::from_utf8(item.value.to_vec()).ok().map(ShardId::from);
-        // Only shards with a name are in the index; a value that cannot be read comes empty.
+        // Only named shards are in the index; an unreadable value is returned as empty.
         let name = |item| name(item).filter(|shard| !shard.is_empty());
         item.map(|item| name(item).ok_or_else(unreadable)).transpose()
     }
 
-    /// Reads one job of a shard past its leader.
+    /// Reads one job of a shard directly from the store, without its leader.
     pub(crate) async fn job(
         store: &PlatformStore,
         shard: &ShardId,
@@ -272,28 +272,28 @@
     }
 }
 
-/// Jobs with what has become of them. One of which either is unreadable is left out: taken for a job that
-/// has not begun, its tasks would run again.
+/// Joins job records with their progress. A job with an unreadable record or progress is left out: treated as not
+/// started, it would run its tasks again.
 fn join(
     records: BTreeMap<String, Option<GraphRecord>>,
     mut progress: BTreeMap<String, Option<GraphProgress>>,
 ) -> Vec<(GraphRecord, GraphProgress)> {
-    let mut whole = Vec::with_capacity(records.len());
+    let mut complete = Vec::with_capacity(records.len());
     for (id, record) in records {
         let progress = progress.remove(&id).unwrap_or_else(|| Some(GraphProgress::default()));
         match record.zip(progress) {
-            Some(job) => whole.push(job),
-            None => error!(job = id; "a job with an unreadable key is left out"),
+            Some(job) => complete.push(job),
+            None => error!(job = id; "skipping a job with an unreadable key"),
         }
     }
-    whole
+    complete
 }
 
 fn decode<T: DeserializeOwned>(item: &KeyItem) -> Option<T> {
     let decoded = serde_json::from_slice(&item.value);
     if let Err(failure) = &decoded {
         count_unreadable(UnreadableKind::Ledger);
-        error!(key = item.key, failure:% = failure; "a key of the ledger is unreadable");
+        error!(key = item.key, failure:% = failure; "unreadable ledger key");
     }
     decoded.ok()
 }
--- a/src/node/ledger/group_sender.rs
+++ b/src/node/ledger/group_sender.rs
@@ -1,7 +1,7 @@
-//! Sending one group: again as soon as the store answers anything.
+//! Sends one group to the store, and again as soon as the store answers reads while a send is unanswered.
 //!
-//! Load it answers: a store that has been silent, or whose answers are lost. Waited out, a send without an answer keeps
-//! jobs from being taken after the store is back, and holds all later groups.
+//! This covers a store that was unreachable and a store whose answers are lost. Waiting for the timeout of an
+//! unanswered send would keep jobs from being accepted after the store has recovered, and would delay all later groups.
 
 use std::time::Duration;
 
@@ -13,17 +13,17 @@
 use crate::node::ledger::Result;
 use crate::platform::PlatformStore;
 
-/// How long a send is waited for before the store is asked what it has: answers take 4 ms, and this long only where
-/// the store is forty times slower.
+/// Time after a send before the group key is read to see whether it took effect. Answers take 4 ms; only a store forty
+/// times slower needs this long.
 const PROBE_AFTER: Duration = Duration::from_millis(150);
-/// Time from one such question to the next: a store that is back is noticed within it.
-const PROBE_GAP: Duration = Duration::from_millis(100);
-/// Questions that may be without an answer: a slow store answers each within 400 ms.
-const MOST_PROBES: usize = 4;
-/// Sends of one group that may be without an answer.
-const MOST_SENDS: usize = 3;
+/// Interval between such reads: a store that has recovered is noticed within it.
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum number of unanswered reads: a slow store answers each within 400 ms.
+const MAX_PROBES: usize = 4;
+/// Maximum number of unanswered sends of one group.
+const MAX_SENDS: usize = 3;
 
-/// What a group is sent to.
+/// The store operations that sending a group needs.
 pub(crate) trait GroupStore: Sync {
     /// Changes keys under conditions, all or nothing.
     fn change(
@@ -45,13 +45,13 @@
     }
 }
 
-/// What the store said of the group key to a question that was sent at a moment.
+/// Result of a read of the group key that was sent at `sent`.
 struct StoreProbe {
     sent: Instant,
     read: Result<Option<KeyItem>>,
 }
 
-/// Sends a group, which stands in the store once the group key has its id.
+/// Sends a group, which is stored once the group key has its id.
 pub(crate) struct GroupSender<'s, S> {
     pub(crate) store: &'s S,
     pub(crate) key: &'s str,
@@ -62,7 +62,7 @@
     /// Sends a change until a send is answered or all have failed.
     ///
     /// # Errors
-    /// `NotDone` only where the store has refused every send.
+    /// `NotDone` only if the store has refused every send.
     pub(crate) async fn send(&self, change: &KeyTransaction) -> Result<TransactionOutcome> {
         let mut sends = FuturesUnordered::from_iter([self.store.change(change)]);
         let mut probes = FuturesUnordered::new();
@@ -73,8 +73,8 @@
             tokio::select! {
                 Some(result) = sends.next() => match result {
                     Ok(outcome) => return Ok(outcome),
-                    Err(error) if sends.is_empty() => return Err(worse(failure, error)),
-                    Err(error) => failure = Some(worse(failure, error)),
+                    Err(error) if sends.is_empty() => return Err(combine_failures(failure, error)),
+                    Err(error) => failure = Some(combine_failures(failure, error)),
                 },
                 Some(probe) = probes.next() => {
                     let StoreProbe { sent, read } = probe;
@@ -82,8 +82,9 @@
                         Ok(Some(item)) if item.value == self.id.as_bytes() => {
                             return Ok(TransactionOutcome::Done(item.revision));
                         }
-                        // It answers what was asked later than the last send: that send is lost.
-                        Ok(_) if sent > last_send && sends.len() < MOST_SENDS => {
+                        // The store answered a read sent after the last send without having the group: that send is
+                        // assumed lost.
+                        Ok(_) if sent > last_send && sends.len() < MAX_SENDS => {
                             last_send = Instant::now();
                             sends.push(self.store.change(change));
                         }
@@ -92,8 +93,8 @@
                 }
                 () = sleep_until(next_probe) => {
                     let now = Instant::now();
-                    next_probe = now + PROBE_GAP;
-                    if probes.len() < MOST_PROBES {
+                    next_probe = now + PROBE_INTERVAL;
+                    if probes.len() < MAX_PROBES {
                         probes.push(self.probe(now));
                     }
                 }
@@ -101,14 +102,14 @@
         }
     }
 
-    /// Asks what the store has, at a moment.
+    /// Reads the group key, at `sent`.
     async fn probe(&self, sent: Instant) -> StoreProbe {
         StoreProbe { sent, read: self.store.read(self.key).await }
     }
 }
 
-/// What is known of a group two sends of which have failed: one without an answer may have taken effect.
-fn worse(before: Option<StoreError>, error: StoreError) -> StoreError {
+/// Combines the failures of two sends of a group: an unanswered one may have taken effect, so it prevails.
+fn combine_failures(before: Option<StoreError>, error: StoreError) -> StoreError {
     match before {
         Some(unknown @ StoreError::Unknown(_)) => unknown,
         _ => error,
--- a/src/node/ledger/shard_keys.rs
+++ b/src/node/ledger/shard_keys.rs
@@ -1,4 +1,4 @@
-//! Names of the keys of one shard's ledger, and what a group changes there.
+//! Key names of one shard's ledger, and the key changes of a group.
 
 use bytes::Bytes;
 use log::error;
@@ -9,16 +9,16 @@
 use crate::node::ledger::LedgerHead;
 use crate::node::notices::notice_key;
 
-/// Start of the keys of jobs as they were submitted.
+/// Prefix of the keys of job records, which hold jobs as submitted.
 const RECORD_PREFIX: &str = "j";
-/// Start of the keys of what has become of jobs.
+/// Prefix of the keys of job progress.
 const PROGRESS_PREFIX: &str = "p";
-/// Where there are several leaders: the shard of each job. The condition that a job has no such key keeps
-/// two leaders from accepting it.
+/// Prefix of the keys that hold the shard of each job, in deployments with several shards. The condition that a job has
+/// no such key keeps two leaders from accepting it.
 const INDEX_PREFIX: &str = "i";
-/// Id of the last group; not under the prefix that entries watch.
+/// Key of the last group's id; not under the prefix that entries watch.
 const GROUP_KEY: &str = "l/group";
-/// Workers that may run something.
+/// Key of the workers that may have running tasks.
 const WORKERS_KEY: &str = "l/workers";
 
 /// Names of the keys of one shard.
@@ -44,12 +44,12 @@
         sharded(WORKERS_KEY, &self.shard)
     }
 
-    /// Whether there are others.
-    pub(super) fn divided(&self) -> bool {
+    /// Whether there are other shards, and so an index.
+    pub(super) fn has_index(&self) -> bool {
         !self.shard.is_empty()
     }
 
-    /// Whether another shard's leader has accepted a job that is stored here.
+    /// Whether a job stored in this shard is part of one that another shard's leader has accepted.
     pub(super) fn is_part(&self, record: &GraphRecord) -> bool {
         record.share.as_ref().is_some_and(|share| share.owner != self.shard)
     }
@@ -60,7 +60,7 @@
 }
 
 impl ShardKeys {
-    /// What must hold for a group: the leader's epoch, the group before, and jobs that no shard has.
+    /// Conditions of a group: the leader's epoch, the previous group, and `added` jobs that no shard has yet.
     pub(super) fn conditions(&self, head: LedgerHead, added: &[GraphId]) -> Vec<(String, u64)> {
         let mut conditions = vec![
             (epoch_key(&self.shard), head.epoch_revision),
@@ -70,48 +70,48 @@
         conditions
     }
 
-    /// Jobs of a group that must not be in the index yet.
-    pub(super) fn indexed(&self, group: &CommitGroup) -> Vec<GraphId> {
-        let own = group.added.iter().filter(|record| self.divided() && !self.is_part(record));
+    /// Jobs of a group that are to be added to the index.
+    pub(super) fn jobs_to_index(&self, group: &CommitGroup) -> Vec<GraphId> {
+        let own = group.added.iter().filter(|record| self.has_index() && !self.is_part(record));
         own.map(|record| record.spec.id.clone()).collect()
     }
 
-    /// Whether a key to write belongs to a job that another shard has.
-    pub(super) fn belongs(&self, set: &KeyWrite, job: &GraphId) -> bool {
-        [self.record(job), self.progress(job), index_key(job)].contains(&set.key)
+    /// Whether a write is to one of the keys of `job`.
+    pub(super) fn is_of_job(&self, write: &KeyWrite, job: &GraphId) -> bool {
+        [self.record(job), self.progress(job), index_key(job)].contains(&write.key)
     }
 
-    /// Keys that a group writes and removes.
+    /// Returns the writes and the removed keys of a group.
     pub(super) fn changes(&self, id: &str, group: &CommitGroup) -> (Vec<KeyWrite>, Vec<String>) {
-        let mut writes = vec![set(self.group(), Bytes::from(id.to_owned()))];
+        let mut writes = vec![key_write(self.group(), Bytes::from(id.to_owned()))];
         let mut removes = Vec::new();
         for record in &group.added {
             let job = &record.spec.id;
-            writes.push(set(self.record(job), encode(record)));
+            writes.push(key_write(self.record(job), encode(record)));
             match self.is_part(record) {
                 true => removes.push(notice_key(&self.shard, NoticeKind::Start, job)),
-                false if self.divided() => {
-                    writes.push(set(index_key(job), Bytes::from(self.shard.to_string())));
+                false if self.has_index() => {
+                    writes.push(key_write(index_key(job), Bytes::from(self.shard.to_string())));
                 }
                 false => {}
             }
         }
         for (job, progress) in &group.progress {
-            writes.push(set(self.progress(job), encode(progress)));
+            writes.push(key_write(self.progress(job), encode(progress)));
         }
         for notice in &group.notices {
             let value = notice.record.as_ref().map(encode).unwrap_or_default();
-            writes.push(set(notice_key(&notice.shard, notice.kind, &notice.job), value));
+            writes.push(key_write(notice_key(&notice.shard, notice.kind, &notice.job), value));
         }
         if let Some(workers) = &group.workers {
-            writes.push(set(self.workers(), encode(workers)));
+            writes.push(key_write(self.workers(), encode(workers)));
         }
         for (job, kind) in &group.settled {
             removes.push(notice_key(&self.shard, *kind, job));
         }
         for job in &group.removed {
             removes.extend([self.record(job), self.progress(job)]);
-            if self.divided() && !group.removed_parts.contains(job) {
+            if self.has_index() && !group.removed_parts.contains(job) {
                 removes.push(index_key(job));
             }
         }
@@ -119,7 +119,7 @@
     }
 }
 
-fn set(key: String, value: Bytes) -> KeyWrite {
+fn key_write(key: String, value: Bytes) -> KeyWrite {
     KeyWrite { key, value, lease: None }
 }
 
@@ -127,7 +127,7 @@
     match serde_json::to_vec(value) {
         Ok(bytes) => Bytes::from(bytes),
         Err(failure) => {
-            error!(failure:% = failure; "a value could not be encoded");
+            error!(failure:% = failure; "failed to encode a value");
             Bytes::new()
         }
     }
--- a/src/node/ledger/tests.rs
+++ b/src/node/ledger/tests.rs
@@ -1,4 +1,4 @@
-//! What becomes of a group whose sends or answers are lost.
+//! Groups whose sends or answers are lost.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -13,30 +13,30 @@
 
 const KEY: &str = "l/group";
 const ID: &str = "3:17";
-/// Longest time that a client of the store waits.
-const CALL_TIME: Duration = Duration::from_millis(800);
+/// Timeout of a call to the store.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// A store that leaves what it is sent before a moment unanswered.
+/// A store that answers no call made before a given time.
 struct SilentStore {
     answers_from: Instant,
-    /// How long an answer takes.
+    /// Time that an answer takes.
     answer_time: Duration,
-    /// Whether it carries out what it leaves unanswered.
-    carries_out: bool,
+    /// Whether unanswered transactions take effect.
+    applies_unanswered: bool,
     stored: Mutex<Option<Bytes>>,
     sends: Mutex<u32>,
 }
 
 impl SilentStore {
-    fn new(silence: Duration, answer_time: Duration, carries_out: bool) -> Self {
+    fn new(silence: Duration, answer_time: Duration, applies_unanswered: bool) -> Self {
         let answers_from = Instant::now() + silence;
         let (stored, sends) = (Mutex::new(None), Mutex::new(0));
-        Self { answers_from, answer_time, carries_out, stored, sends }
+        Self { answers_from, answer_time, applies_unanswered, stored, sends }
     }
 
     async fn answer(&self) -> Result<()> {
         if Instant::now() < self.answers_from {
-            sleep(CALL_TIME).await;
+            sleep(CALL_TIMEOUT).await;
             return Err(StoreError::Unknown("no answer".to_owned()));
         }
         sleep(self.answer_time).await;
@@ -52,7 +52,7 @@
 impl GroupStore for SilentStore {
     async fn change(&self, _: &KeyTransaction) -> Result<TransactionOutcome> {
         *self.sends.lock().unwrap() += 1;
-        if self.carries_out || Instant::now() >= self.answers_from {
+        if self.applies_unanswered || Instant::now() >= self.answers_from {
             *self.stored.lock().unwrap() = Some(Bytes::from(ID));
         }
         self.answer().await?;
@@ -66,18 +66,18 @@
     }
 }
 
-/// How long a group takes that is sent until it is stored.
+/// Sends a group until it is stored, and returns how long that took.
 async fn time_to_store(store: &SilentStore) -> Duration {
-    let begun = Instant::now();
+    let started = Instant::now();
     while store.send().await.is_err() {}
-    begun.elapsed()
+    started.elapsed()
 }
 
-// A store was silent for 6.4 s. The send that was under way as it came back was waited for until its 0.8 s were over,
-// and jobs whose callers had waited for it were refused meanwhile.
+// A store did not answer for 6.4 s. When it recovered, the send in flight was still waited for until its timeout of 0.8
+// s, and jobs whose callers waited for the group were refused meanwhile.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_store_that_is_back_gets_the_group_within_a_question() {
+async fn a_recovered_store_gets_the_group_within_a_probe() {
     let silence = Duration::from_millis(6_400);
     let store = SilentStore::new(silence, Duration::from_millis(4), false);
     let took = time_to_store(&store).await;
@@ -85,7 +85,7 @@
     expect_that!(took, le(silence + Duration::from_millis(150)));
 }
 
-// A group that was stored, and whose answer was lost, held all later groups for 0.86 s.
+// A stored group whose answer was lost delayed all later groups by 0.86 s.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_group_whose_answer_was_lost_is_found_in_the_store() {
@@ -95,7 +95,7 @@
     expect_that!(*store.sends.lock().unwrap(), eq(1));
 }
 
-// A slow store gets each group once: sent again it would have twice the work.
+// Sending a group again would double the load of a slow store.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_slow_store_gets_a_group_once() {
@@ -105,11 +105,11 @@
     expect_that!(*store.sends.lock().unwrap(), eq(1));
 }
 
-// Refused by one send while another is unanswered, a group may be stored.
+// A group may be stored if one of its sends is refused while another is unanswered.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_group_is_not_known_to_be_refused_while_a_send_is_unanswered() {
-    /// Leaves the first send unanswered and refuses the next.
+async fn a_group_is_not_refused_for_sure_while_a_send_is_unanswered() {
+    /// A store that leaves the first send unanswered and refuses the next.
     struct RefusingStore(Mutex<u32>);
 
     impl GroupStore for RefusingStore {
@@ -120,7 +120,7 @@
                 *sends == 1
             };
             if first {
-                sleep_until(Instant::now() + CALL_TIME).await;
+                sleep_until(Instant::now() + CALL_TIMEOUT).await;
                 return Err(StoreError::Unknown("no answer".to_owned()));
             }
             Err(StoreError::NotDone("busy".to_owned()))
--- a/src/node/members.rs
+++ b/src/node/members.rs
@@ -119,7 +119,7 @@
         view.plan = decode(item).map(Arc::new).or(view.plan.take());
     } else if let Some(shard) = shard_of_leader(key) {
         let record = decode(item);
-        view.shards.entry(shard).or_default().take_leader(record);
+        view.shards.entry(shard).or_default().apply_leader(record);
     } else if let Some(shard) = shard_of_epoch(key) {
         let record = decode(item).unwrap_or_else(|| unreadable_epoch(item));
         let shard_view = view.shards.entry(shard).or_default();
@@ -137,8 +137,8 @@
     }
 }
 
-/// Stands in for an unreadable epoch record. Each election raises the store's revision, so the key's revision is at least
-/// as high as its epoch; the leader elected last is unknown and may still run.
+/// Stands in for an unreadable epoch record. Each election raises the store's revision, so the key's revision is at
+/// least as high as its epoch; the leader elected last is unknown and may still run.
 fn unreadable_epoch(item: &KeyItem) -> EpochRecord {
     EpochRecord { epoch: item.revision, holder: Some(unknown_leader()), best: 0.0 }
 }
--- a/src/node/process.rs
+++ b/src/node/process.rs
@@ -29,18 +29,18 @@
 use crate::node::shard_plan::ShardPlanLoop;
 use crate::node::shared::NodeShared;
 
-/// Part of the grace period in which a leaving entry still takes connections: the balancer notices
-/// after two probes, a second each.
+/// Fraction of the grace period for which a stopping entry still takes connections: the load balancer notices the stop
+/// after two probes, one second each.
 const NOTICE_SHARE: f64 = 0.45;
-/// Part of the grace period that requests in flight may take after that.
+/// Fraction of the grace period that requests in flight may take after that.
 const DRAIN_SHARE: f64 = 0.35;
-/// Part of the grace period in which leadership has to be handed over: with a store that is down it is kept for most of
-/// it, since nobody else can be elected.
+/// Fraction of the grace period in which leadership must be handed over. While the store is down, leadership is kept
+/// for most of the period, since nobody else can be elected.
 const HANDOVER_SHARE: f64 = 0.8;
-/// Descriptors kept for files, the store, workers and other entries.
-const KEPT_DESCRIPTORS: usize = 1_200;
-/// Longest time for the head of a request to arrive.
-const HEAD_TIME: Duration = Duration::from_millis(3_000);
+/// File descriptors reserved for files and for connections to the store, workers and other entries.
+const RESERVED_DESCRIPTORS: usize = 1_200;
+/// Maximum time for the head of a request to arrive.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 /// A process on the platform.
 pub struct NodeProcess {
@@ -49,18 +49,18 @@
 }
 
 impl NodeProcess {
-    /// A process that has not started.
+    /// Creates a process that has not started.
     pub fn new(settings: NodeSettings, metrics: PrometheusHandle) -> Self {
         Self { shared: Arc::new(NodeShared::new(settings)), metrics }
     }
 
-    /// Runs until a signal asks for the planned stop, and through it.
+    /// Runs until a signal starts the planned stop, and until that stop is complete.
     ///
-    /// All duties share one thread: the machines give a process one core or less, where a thread for
-    /// each duty adds a switch of threads to every message and nothing else.
+    /// All loops share one thread: a process gets one core or less, where a thread per loop would only add a context
+    /// switch to every message.
     ///
     /// # Errors
-    /// Where an address cannot be bound.
+    /// Returns an error if an address cannot be bound.
     pub fn run(self) -> Result<()> {
         let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
         let result = runtime.block_on(self.serve());
@@ -83,16 +83,16 @@
             .context("ready")?;
         self.listen(settings.metrics, limits, metric_routes(), probe, probe_stopped)
             .context("metrics")?;
-        let desk = CallerHandler::new(self.shared.clone());
-        let desk: PrepareState = Arc::new(move |state| state.put(desk.clone()));
+        let handler = CallerHandler::new(self.shared.clone());
+        let handler: PrepareState = Arc::new(move |state| state.put(handler.clone()));
         let (stop_callers, callers_stopped) = watch::channel(false);
         let limits = ListenerLimits {
-            connections: settings.descriptors.saturating_sub(KEPT_DESCRIPTORS).max(64),
-            head_time: HEAD_TIME,
+            connections: settings.descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(64),
+            head_time: HEAD_TIMEOUT,
             drain: settings.grace.mul_f64(DRAIN_SHARE),
         };
         let callers = self
-            .listen(settings.callers, limits, caller_routes(), desk, callers_stopped)
+            .listen(settings.callers, limits, caller_routes(), handler, callers_stopped)
             .context("callers")?;
         tokio::spawn(ConfigLoop::new(self.shared.clone()).run());
         tokio::spawn(MembershipLoop::new(self.shared.clone()).run());
@@ -120,7 +120,8 @@
         Ok(tokio::spawn(serve_http(listener, limits, routes, prepare, stop)))
     }
 
-    /// A planned stop: leadership is handed over, the balancer notices, requests in flight end.
+    /// Runs the planned stop: hands leadership over, waits for the load balancer to notice, and lets requests in flight
+    /// end.
     async fn drain(
         &self,
         stop_callers: watch::Sender<bool>,
@@ -132,7 +133,7 @@
         let grace = self.shared.settings.grace;
         let handover = async {
             if timeout(grace.mul_f64(HANDOVER_SHARE), election).await.is_err() {
-                warn!("leadership was not handed over in time");
+                warn!("leadership was not handed over within the grace period");
             }
         };
         let callers = async {
@@ -142,13 +143,13 @@
         };
         match join(handover, callers).await.1 {
             Ok(true) => info!("all requests in flight have ended"),
-            Ok(false) | Err(_) => warn!("the grace period cut requests in flight"),
+            Ok(false) | Err(_) => warn!("the grace period ended before all requests in flight"),
         }
     }
 }
 
-/// Waits for the signal to stop; a changed settings file needs nothing: no setting of it can change
-/// while the process runs.
+/// Waits for a stop signal. SIGHUP, for a changed settings file, has no effect: no setting can change while the process
+/// runs.
 async fn wait_for_stop() -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -157,7 +158,7 @@
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
-            _ = reload.recv() => info!("settings file changed: nothing to take over"),
+            _ = reload.recv() => info!("SIGHUP ignored: no setting can change at run time"),
         }
     }
 }
--- a/src/node/reachability.rs
+++ b/src/node/reachability.rs
@@ -56,7 +56,7 @@
     /// Whether a leader answers. Leaders of other failure domains are called if there are any, or else all leaders.
     async fn reaches_leader(&self) -> bool {
         let view = self.shared.members.borrow().clone();
-        let leaders = view.leaders_beyond(&self.shared.settings.domain);
+        let leaders = view.leaders_outside(&self.shared.settings.domain);
         if leaders.is_empty() {
             note_no_leader(&self.shared, DUTY);
             return false;
--- a/src/node/records.rs
+++ b/src/node/records.rs
@@ -1,4 +1,4 @@
-//! The members as they stand in the store.
+//! Records of entries, leaders and elections in the store.
 
 use std::net::SocketAddr;
 
@@ -7,57 +7,57 @@
 use crate::graph::LeaderEpoch;
 use crate::id::{DomainId, EntryId};
 
-/// The leader as it stands in the store.
+/// Leader of a shard, as stored.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub(crate) struct LeaderRecord {
     pub(crate) entry: EntryId,
-    /// Where other entries reach it.
+    /// Address for other entries.
     pub(crate) address: SocketAddr,
-    /// Tells one start of the entry from another.
+    /// Identifies this start of the entry's process.
     pub(crate) start: u64,
     pub(crate) epoch: LeaderEpoch,
 }
 
-/// Stands for a leader that may go on and is not known: no entry has its name, so that none shows that it has ended.
+/// Placeholder for an unknown leader that may still be running. No entry has its name, so it never counts as ended.
 pub(crate) fn unknown_leader() -> (EntryId, u64) {
     (EntryId::from(""), 0)
 }
 
-/// What an election gave, or the leader before.
+/// A term of leadership, won in an election or handed over by the previous leader.
 #[derive(Clone, Debug)]
 #[derive(Deserialize, Serialize)]
 pub(crate) struct LeaderTerm {
     pub(crate) epoch: LeaderEpoch,
     pub(crate) epoch_revision: u64,
-    /// Who led before, and in which start; `None` where it has stepped down.
+    /// Entry and start of the previous leader; `None` if it has stepped down.
     pub(crate) predecessor: Option<(EntryId, u64)>,
 }
 
-/// The last election as it stands in the store.
+/// Result of a shard's last election, as stored.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub(crate) struct EpochRecord {
     pub(crate) epoch: LeaderEpoch,
-    /// Who was elected, and in which start; `None` once it has stepped down.
+    /// Entry and start of the elected leader; `None` once it has stepped down.
     pub(crate) holder: Option<(EntryId, u64)>,
-    /// Processor of the best machine that was known then.
+    /// Processor of the best machine known at the election.
     #[serde(default)]
     pub(crate) best: f64,
 }
 
-/// An entry as it stands in the store.
+/// A registered entry, as stored.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub(crate) struct EntryRecord {
     pub(crate) address: SocketAddr,
-    /// Its failure domain.
+    /// The entry's failure domain.
     pub(crate) domain: DomainId,
-    /// Tells one start of the entry from another.
+    /// Identifies this start of the entry's process.
     pub(crate) start: u64,
     /// Share of a processor core.
     pub(crate) processor: f64,
-    /// Revision of its key: of two entries the one with the higher has registered later.
+    /// Revision of the entry's key, which orders entries by the time of registration.
     #[serde(skip)]
     pub(crate) revision: u64,
 }
--- a/src/node/settings.rs
+++ b/src/node/settings.rs
@@ -1,4 +1,4 @@
-//! What a process on the platform is told at its start.
+//! Settings of a process on the platform.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,33 +6,33 @@
 use crate::graph::GraphBounds;
 use crate::id::{DomainId, EntryId};
 
-/// Settings of a process.
+/// Settings of a process, fixed at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
     /// Name of this entry.
     pub name: EntryId,
-    /// Its failure domain.
+    /// Failure domain of this entry.
     pub domain: DomainId,
     /// All failure domains.
     pub domains: Vec<DomainId>,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether this entry takes connections.
+    /// Listen address for the load balancer's readiness probe.
     pub ready: SocketAddr,
-    /// Where other entries connect.
+    /// Listen address for other entries.
     pub peers: SocketAddr,
-    /// Where metrics and the state dump are served.
+    /// Listen address for metrics and the state dump.
     pub metrics: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// The service that gives placement advice.
+    /// Address of the service that gives placement advice.
     pub advisor: Option<SocketAddr>,
-    /// Share of a processor core.
+    /// Processor share of this process, in cores.
     pub processor: f64,
-    /// File descriptors.
+    /// Limit of open file descriptors.
     pub descriptors: usize,
     /// Time from the signal to stop until the process is killed.
     pub grace: Duration,
-    /// Bounds of the decisions.
+    /// Bounds of the scheduling decisions.
     pub bounds: GraphBounds,
 }
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -1,4 +1,4 @@
-//! What the duties of a process share.
+//! State shared by the loops of a process.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,39 +17,38 @@
 use crate::platform::{AdvisorClient, PlatformStore};
 use crate::ring::RingSender;
 
-/// Without an answer of the store for this long an entry is not ready: its configuration may be old.
-const STORE_SILENCE: Duration = Duration::from_millis(4_000);
-/// Without an answer of the store for this long other entries are asked: leases are renewed each 250 ms
+/// An entry without an answer of the store for this long is not ready, as its configuration may be out of date.
+const STORE_SILENCE_LIMIT: Duration = Duration::from_millis(4_000);
+/// After this long without an answer of the store, other entries are called instead: leases are renewed every 250 ms,
 /// and a slow store answers within 250 ms.
-const STORE_LATE: Duration = Duration::from_millis(700);
-/// Without an answer of the store, the leader or, for the leader, another failure domain for this long
-/// an entry is not ready. The balancer needs two seconds more, and callers of a failure domain that is
-/// cut off wait three seconds in all.
-const REACH_SILENCE: Duration = Duration::from_millis(1_000);
+const STORE_LATE_LIMIT: Duration = Duration::from_millis(700);
+/// An entry without an answer for this long of the store, the leader or, if it leads, another failure domain is not
+/// ready. The load balancer takes two more seconds to notice, so callers of a cut-off failure domain wait three seconds
+/// in all.
+const REACH_SILENCE_LIMIT: Duration = Duration::from_millis(1_000);
 
-/// Without an answer of the store for this long, no new leader is expected: leases are renewed each
-/// 250 ms.
-const ELECTION_SILENCE: Duration = Duration::from_millis(1_500);
+/// After this long without an answer of the store, no election is expected to succeed: leases are renewed every 250 ms.
+const ELECTION_SILENCE_LIMIT: Duration = Duration::from_millis(1_500);
 
-/// Shared by all duties.
+/// State shared by all loops.
 pub(crate) struct NodeShared {
     pub(crate) settings: NodeSettings,
-    /// Tells this start of the entry from any other.
+    /// Random id of this start of the entry's process.
     pub(crate) start: u64,
     pub(crate) store: PlatformStore,
     pub(crate) advisor: Option<AdvisorClient>,
-    /// How tries of the store, the leader and the advisor go.
+    /// Results of calls to the store, the leader and the advisor.
     pub(crate) dependencies: NodeDependencies,
     pub(crate) config: watch::Sender<Option<Arc<QueueConfig>>>,
     pub(crate) members: watch::Sender<MemberView>,
     pub(crate) draining: watch::Sender<bool>,
-    /// Leadership that leaving leaders give to this entry.
+    /// Terms that leaders hand over to this entry when they step down.
     pub(crate) handover_inbox: HandoverInbox,
-    /// Inputs that leaders of this process have taken.
+    /// Number of inputs that leader loops of this process have taken.
     leader_inputs: AtomicU64,
     leading: Mutex<BTreeMap<ShardId, RingSender<LeaderInput>>>,
     store_answered: Mutex<Option<Instant>>,
-    /// When the leader answered last, or any other entry where this one leads.
+    /// Time of the last answer of the leader or, if this entry leads, of any other entry.
     peer_answered: Mutex<Option<Instant>>,
 }
 
@@ -72,7 +71,7 @@
         }
     }
 
-    /// Sets or ends the way to the leader's duty of this process for a shard.
+    /// Sets or removes the input of this process's leader loop for a shard.
     pub(crate) fn set_leading(&self, shard: &ShardId, input: Option<RingSender<LeaderInput>>) {
         let mut leading = lock(&self.leading);
         match input {
@@ -81,17 +80,17 @@
         };
     }
 
-    /// The way to the leader's duty for a shard, if this process leads it.
+    /// Returns the input of the leader loop for a shard, if this process leads it.
     pub(crate) fn leading(&self, shard: &ShardId) -> Option<RingSender<LeaderInput>> {
         lock(&self.leading).get(shard).cloned()
     }
 
-    /// A leader of this process has taken an input.
+    /// Counts an input that a leader loop of this process has taken.
     pub(crate) fn note_leader_input(&self) {
         self.leader_inputs.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Inputs that leaders of this process have taken.
+    /// Number of inputs that leader loops of this process have taken.
     pub(crate) fn leader_inputs(&self) -> u64 {
         self.leader_inputs.load(Ordering::Relaxed)
     }
@@ -101,50 +100,51 @@
         lock(&self.leading).keys().cloned().collect()
     }
 
-    /// The store has answered a duty.
+    /// Records an answer of the store to a loop.
     pub(crate) fn note_store(&self, duty: &str) {
         self.dependencies.store.answered(duty);
         *lock(&self.store_answered) = Some(Instant::now());
     }
 
-    /// The leader has answered, or another entry where this one leads.
+    /// Records an answer of the leader or, if this entry leads, of another entry.
     pub(crate) fn note_peer(&self) {
         *lock(&self.peer_answered) = Some(Instant::now());
     }
 
-    /// Whether the store has been silent for long enough to ask other entries.
+    /// Whether the store has not answered for long enough to call other entries instead.
     pub(crate) fn store_is_late(&self) -> bool {
-        !heard(&self.store_answered, STORE_LATE)
+        !answered_within(&self.store_answered, STORE_LATE_LIMIT)
     }
 
-    /// Whether the store has answered so lately that an election can be expected to succeed.
+    /// Whether the store has answered recently enough for an election to be expected to succeed.
     pub(crate) fn store_is_heard(&self) -> bool {
-        heard(&self.store_answered, ELECTION_SILENCE)
+        answered_within(&self.store_answered, ELECTION_SILENCE_LIMIT)
     }
 
-    /// Whether the store, the leader or, for the leader, another failure domain has been heard lately.
+    /// Whether the store, the leader or, if this entry leads, another failure domain has answered recently.
     pub(crate) fn reaches_others(&self) -> bool {
-        heard(&self.store_answered, REACH_SILENCE) || heard(&self.peer_answered, REACH_SILENCE)
+        answered_within(&self.store_answered, REACH_SILENCE_LIMIT)
+            || answered_within(&self.peer_answered, REACH_SILENCE_LIMIT)
     }
 
     /// Whether this entry can serve callers.
     pub(crate) fn ready(&self) -> bool {
-        let current = heard(&self.store_answered, STORE_SILENCE);
-        let reached = self.reaches_others();
+        let store_answers = answered_within(&self.store_answered, STORE_SILENCE_LIMIT);
+        let is_reachable = self.reaches_others();
         let view = self.members.borrow();
-        let led = !self.led_shards().is_empty() || view.leaders().next().is_some();
-        let divided = view.plan.is_some();
-        current
-            && reached
-            && led
-            && divided
+        let has_leader = !self.led_shards().is_empty() || view.leaders().next().is_some();
+        let has_plan = view.plan.is_some();
+        store_answers
+            && is_reachable
+            && has_leader
+            && has_plan
             && self.config.borrow().is_some()
             && !*self.draining.borrow()
     }
 }
 
-/// Whether an answer came within a time.
-fn heard(answered: &Mutex<Option<Instant>>, within: Duration) -> bool {
+/// Whether the last answer is more recent than `within`.
+fn answered_within(answered: &Mutex<Option<Instant>>, within: Duration) -> bool {
     lock(answered).is_some_and(|at| at.elapsed() < within)
 }
 
--- a/src/node/takeover_tests.rs
+++ b/src/node/takeover_tests.rs
@@ -1,4 +1,4 @@
-//! Leadership that an entry is given or wins before it knows all that it has to.
+//! Terms that an entry is handed or wins before it has all the state it needs.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,24 +20,25 @@
     ShardId::from("a")
 }
 
-/// The division that [`shard`] is of.
+/// The shard plan that contains [`shard`].
 fn plan() -> Option<Arc<ShardPlan>> {
     divided(&[]).plan
 }
 
-/// An entry that does not know the division.
-fn unread() -> Arc<NodeShared> {
+/// An entry without the shard plan.
+fn entry_without_plan() -> Arc<NodeShared> {
     let shared = entry();
     shared.members.send_modify(|view| view.plan = None);
     Arc::new(shared)
 }
 
-// A leader that left named an entry that had started anew and had not read the division. It led its shard as if that
-// had all workers: jobs were stored without the index, and other entries told their callers that there were none.
+// A leader that stepped down chose an entry that had just restarted and had not read the shard plan. That entry led its
+// shard as if it had all workers: jobs were stored without the index, and other entries answered that they did not
+// exist.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn an_entry_offers_to_lead_once_it_knows_the_division() {
-    let shared = unread();
+async fn an_entry_offers_to_lead_once_it_knows_the_shard_plan() {
+    let shared = entry_without_plan();
     shared.handover_inbox.set_lease(Some(3));
     expect_that!(offer_here(&shared, shard(), 1), none());
     shared.members.send_modify(|view| view.plan = plan());
@@ -46,8 +47,8 @@
 
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_term_that_is_given_begins_once_the_division_is_known() {
-    let shared = unread();
+async fn a_term_handed_over_begins_once_the_shard_plan_is_known() {
+    let shared = entry_without_plan();
     let term = LeaderTerm { epoch: 2, epoch_revision: 9, predecessor: None };
     shared.handover_inbox.give(shard(), term);
     tokio::spawn(ElectionLoop::new(shared.clone()).run());
@@ -58,11 +59,11 @@
     expect_that!(shared.members.borrow().shard(&shard()).epoch, eq(2));
 }
 
-// An election that was won by a call without an answer leaves open who led before. That leader was taken for ended, so
-// that its runs were waited for five seconds less than they may go on.
+// After an election won by a call whose answer was lost, the previous leader is unknown. It was assumed to have ended,
+// so that the wait for its runs was five seconds shorter than they may last.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_leader_before_that_is_not_known_may_go_on() -> Result<()> {
+async fn an_unknown_previous_leader_may_still_run() -> Result<()> {
     let shared = Arc::new(entry());
     let candidacy = Candidacy::new(shared.clone(), shard());
     let settings = &shared.settings;
@@ -79,10 +80,10 @@
         processor: settings.processor,
         revision: 0,
     };
-    let led = ShardView { leader: Some(own), epoch: 5, ..ShardView::default() };
+    let shard_view = ShardView { leader: Some(own), epoch: 5, ..ShardView::default() };
     let view = MemberView {
         plan: plan(),
-        shards: [(shard(), led)].into(),
+        shards: [(shard(), shard_view)].into(),
         entries: [(settings.name.clone(), record)].into(),
         known: true,
         ..MemberView::default()
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -1,4 +1,4 @@
-//! Who takes part, as an entry knows it.
+//! An entry's view of the registered entries and the leaders.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -9,24 +9,24 @@
 use crate::id::{DomainId, EntryId};
 use crate::node::records::{EntryRecord, LeaderRecord};
 
-/// Share of the best machine's processor below which a machine leads only where no better one can.
+/// Fraction of the best machine's processor below which a machine is weak: it leads only if no better one can.
 const STRONG_SHARE: f64 = 0.5;
 
-/// Who leads a shard.
+/// Leader and epoch of a shard.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(crate) struct ShardView {
     pub(crate) leader: Option<LeaderRecord>,
-    /// Revision of the key that counts elections; 0 before the first.
+    /// Revision of the epoch key; 0 before the first election.
     pub(crate) epoch_revision: u64,
     pub(crate) epoch: LeaderEpoch,
-    /// Who was elected last.
+    /// Winner of the last election: entry and start.
     pub(crate) holder: Option<(EntryId, u64)>,
 }
 
 impl ShardView {
-    /// Takes in the leader as a change in the store names it. Entries may have told of a later one, which the watch has not
-    /// come to yet.
-    pub(crate) fn take_leader(&mut self, record: Option<LeaderRecord>) {
+    /// Applies a leader record from the store, unless another entry has already reported a later leader, which the
+    /// watch has not reached yet.
+    pub(crate) fn apply_leader(&mut self, record: Option<LeaderRecord>) {
         let stale = match (&record, &self.leader) {
             (Some(record), Some(known)) => record.epoch < known.epoch,
             _ => false,
@@ -36,7 +36,8 @@
         }
     }
 
-    /// The key of a leader has gone from the store: not that of one whose election the watch has not come to yet.
+    /// Removes the leader after its key was removed from the store. A leader whose election the watch has not reached
+    /// yet stays, as the removed key was an earlier one's.
     pub(crate) fn forget_leader(&mut self) {
         if self.leader.as_ref().is_some_and(|leader| leader.epoch <= self.epoch) {
             self.leader = None;
@@ -44,35 +45,35 @@
     }
 }
 
-/// Who takes part.
+/// The registered entries, the shards and their leaders.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct MemberView {
-    /// The division of the workers; `None` while it is not agreed or not read.
+    /// Division of the workers into shards; `None` while it is not agreed or not read.
     pub(crate) plan: Option<Arc<ShardPlan>>,
     pub(crate) shards: BTreeMap<ShardId, ShardView>,
     pub(crate) entries: BTreeMap<EntryId, EntryRecord>,
-    /// Whether the store has been read.
+    /// Whether the members have been read from the store.
     pub(crate) known: bool,
-    /// Processor of the best machine that has been seen, registered or not.
+    /// Processor of the best machine seen so far, registered or not.
     pub(crate) best: f64,
 }
 
-/// An entry's place among those that may lead a shard.
+/// Rank of an entry among the candidates for a shard.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct CandidateRank {
-    /// Entries that go before.
+    /// Number of entries ranked before this one.
     pub(crate) before: u32,
-    /// Whether the shard's workers are in another failure domain.
-    pub(crate) away: bool,
+    /// Whether the shard's workers are in another failure domain than the entry.
+    pub(crate) in_other_domain: bool,
 }
 
 impl MemberView {
-    /// Who leads a shard.
+    /// Leader and epoch of a shard.
     pub(crate) fn shard(&self, shard: &ShardId) -> ShardView {
         self.shards.get(shard).cloned().unwrap_or_default()
     }
 
-    /// All shards; `None` while their division is not known.
+    /// All shards; `None` while the shard plan is unknown.
     pub(crate) fn all_shards(&self) -> Option<Vec<ShardId>> {
         self.plan.as_ref().map(|plan| plan.shards())
     }
@@ -89,28 +90,29 @@
 
     /// The shard that a leader leads.
     pub(crate) fn shard_led_by(&self, leader: &LeaderRecord) -> ShardId {
-        let led = self.shards.iter().find(|(_, view)| view.leader.as_ref() == Some(leader));
-        led.map(|(shard, _)| shard.clone()).unwrap_or_else(|| ShardId::from(""))
+        let found = self.shards.iter().find(|(_, view)| view.leader.as_ref() == Some(leader));
+        found.map(|(shard, _)| shard.clone()).unwrap_or_else(|| ShardId::from(""))
     }
 
-    /// Whether nobody leads a shard: there is no leader, or its process has ended, which shows as soon as its
-    /// entry has started anew; its key stands for up to the life of its lease.
+    /// Whether a shard has no leader, or one whose process has ended. The latter is known as soon as its entry has
+    /// restarted, while the leader key still exists until its lease expires.
     pub(crate) fn leaderless(&self, shard: &ShardId) -> bool {
         self.leader(shard).is_none_or(|leader| {
             self.entries.get(&leader.entry).is_some_and(|record| record.start != leader.start)
         })
     }
 
-    /// Whether a process that was elected has surely ended: its entry has started anew.
+    /// Whether the process of an elected leader is known to have ended because its entry has restarted. Also true
+    /// without a holder.
     pub(crate) fn has_ended(&self, holder: &Option<(EntryId, u64)>) -> bool {
         holder.as_ref().is_none_or(|(entry, start)| {
             self.entries.get(entry).is_some_and(|record| record.start != *start)
         })
     }
 
-    /// An entry's place among those that may lead a shard: strong machines that lead nothing else first,
-    /// and those of the shard's failure domain before others. The shards of one domain begin with
-    /// different entries.
+    /// Returns the rank of an entry among the candidates for a shard: first those that lead no other shard, then strong
+    /// machines, then those of the shard's failure domain. Equal candidates are rotated, so that the shards of one
+    /// domain begin with different entries.
     pub(crate) fn rank(&self, shard: &ShardId, entry: &EntryId) -> CandidateRank {
         let place = self.plan.as_ref().and_then(|plan| plan.domain_and_index(shard));
         let best = self.best_registered();
@@ -118,31 +120,32 @@
             |record: &EntryRecord| place.is_some_and(|(domain, _)| *domain != record.domain);
         let order = |(name, record): (&EntryId, &EntryRecord)| {
             let weak = record.processor < best * STRONG_SHARE;
-            let rest = (best - record.processor) * 1_000.0;
-            (self.leads_other(shard, name), weak, is_away(record), rest as u64)
+            let shortfall = (best - record.processor) * 1_000.0;
+            (self.leads_other(shard, name), weak, is_away(record), shortfall as u64)
         };
         let Some(own) = self.entries.get_key_value(entry).map(order) else {
-            return CandidateRank { before: u32::MAX, away: false };
+            return CandidateRank { before: u32::MAX, in_other_domain: false };
         };
         let before = self.entries.iter().filter(|candidate| order(*candidate) < own).count();
         let equal = self.entries.iter().filter(|candidate| order(*candidate) == own);
         let equal: Vec<&EntryId> = equal.map(|(name, _)| name).collect();
-        let turned = place.map_or(0, |(_, part)| part as usize) % equal.len().max(1);
-        let at = equal.iter().position(|name| *name == entry).unwrap_or(0);
-        let turn = (at + equal.len() - turned) % equal.len().max(1);
+        let offset = place.map_or(0, |(_, part)| part as usize) % equal.len().max(1);
+        let index = equal.iter().position(|name| *name == entry).unwrap_or(0);
+        let turn = (index + equal.len() - offset) % equal.len().max(1);
         let before = u32::try_from(before + turn).unwrap_or(u32::MAX);
-        CandidateRank { before, away: self.entries.get(entry).is_some_and(is_away) }
+        CandidateRank { before, in_other_domain: self.entries.get(entry).is_some_and(is_away) }
     }
 
-    /// Entries that could lead a shard after one that leaves, best first: strong ones that lead nothing, of the shard's
-    /// failure domain, then those that started last, since where entries are stopped in turn these are done.
+    /// Returns the addresses of entries that could succeed `leaving` as leader of a shard, best first: those that lead
+    /// no other shard, strong machines, entries of the shard's failure domain, then the latest to register, as a
+    /// rolling restart has already reached those.
     pub(crate) fn successors(&self, shard: &ShardId, leaving: &EntryId) -> Vec<SocketAddr> {
         let place = self.plan.as_ref().and_then(|plan| plan.domain_and_index(shard));
         let best = self.best_registered();
         let order = |(name, record): &(&EntryId, &EntryRecord)| {
             let weak = record.processor < best * STRONG_SHARE;
-            let away = place.is_some_and(|(domain, _)| *domain != record.domain);
-            (self.leads_other(shard, name), weak, away, Reverse(record.revision))
+            let in_other_domain = place.is_some_and(|(domain, _)| *domain != record.domain);
+            (self.leads_other(shard, name), weak, in_other_domain, Reverse(record.revision))
         };
         let others = self.entries.iter().filter(|(name, _)| *name != leaving);
         let mut others: Vec<(&EntryId, &EntryRecord)> = others.collect();
@@ -158,7 +161,7 @@
         })
     }
 
-    /// Whether an entry that leads nothing has a machine of more than twice the processor of another's.
+    /// Whether some entry that leads no shard has more than twice the processor of `entry`.
     pub(crate) fn has_stronger(&self, entry: &EntryId) -> bool {
         let own = self.entries.get(entry).map_or(0.0, |record| record.processor);
         let leads = |name: &EntryId| self.leaders().any(|leader| leader.entry == *name);
@@ -173,39 +176,40 @@
         })
     }
 
-    /// Whether an entry's machine is weak beside one that has been seen, and no strong one is registered.
-    pub(crate) fn misses_strong(&self, entry: &EntryId) -> bool {
+    /// Whether no strong machine is registered, measured by the best one seen so far. False if `entry` is not
+    /// registered.
+    pub(crate) fn lacks_strong_machine(&self, entry: &EntryId) -> bool {
         let is_strong = |record: &EntryRecord| record.processor >= self.best * STRONG_SHARE;
         self.entries.contains_key(entry) && !self.entries.values().any(is_strong)
     }
 
-    /// Processor of the best machine that is registered.
+    /// Processor of the best registered machine.
     pub(crate) fn best_registered(&self) -> f64 {
         self.entries.values().map(|record| record.processor).fold(0.0, f64::max)
     }
 
-    /// Entries that make calls for advice for a shard's leader.
+    /// Entries that call the advisor on behalf of a shard's leader.
     pub(crate) fn advice_entries(&self, shard: &ShardId) -> Vec<EntryId> {
-        let helps = |(name, record): &(&EntryId, &EntryRecord)| {
+        let gives_advice = |(name, record): &(&EntryId, &EntryRecord)| {
             self.plan.as_ref().is_none_or(|plan| plan.is_advised_by(shard, name, &record.domain))
         };
         let advice_entries: Vec<EntryId> =
-            self.entries.iter().filter(helps).map(|(name, _)| name.clone()).collect();
+            self.entries.iter().filter(gives_advice).map(|(name, _)| name.clone()).collect();
         match advice_entries.is_empty() {
             true => self.entries.keys().cloned().collect(),
             false => advice_entries,
         }
     }
 
-    /// Leaders that are in another failure domain, or all where none is.
-    pub(crate) fn leaders_beyond(&self, domain: &DomainId) -> Vec<LeaderRecord> {
-        let away = |leader: &&LeaderRecord| {
+    /// Leaders outside a failure domain, or all leaders if there are none outside.
+    pub(crate) fn leaders_outside(&self, domain: &DomainId) -> Vec<LeaderRecord> {
+        let in_other_domain = |leader: &&LeaderRecord| {
             self.entries.get(&leader.entry).is_some_and(|record| record.domain != *domain)
         };
-        let beyond: Vec<LeaderRecord> = self.leaders().filter(away).cloned().collect();
-        match beyond.is_empty() {
+        let outside: Vec<LeaderRecord> = self.leaders().filter(in_other_domain).cloned().collect();
+        match outside.is_empty() {
             true => self.leaders().cloned().collect(),
-            false => beyond,
+            false => outside,
         }
     }
 }
