--- a/src/node/election/handover.rs
+++ b/src/node/election/handover.rs
@@ -24,8 +24,8 @@
 impl ElectionLoop {
     /// Hands over every shard that this process leads. Returns whether the store has recorded all handovers.
     pub(super) async fn hand_over(&mut self) -> bool {
-        let shard_view = self.candidacies.iter().filter(|(_, candidacy)| candidacy.leads());
-        let shards: Vec<ShardId> = shard_view.map(|(shard, _)| shard.clone()).collect();
+        let leading = self.candidacies.iter().filter(|(_, candidacy)| candidacy.leads());
+        let shards: Vec<ShardId> = leading.map(|(shard, _)| shard.clone()).collect();
         let mut all_done = true;
         for shard in shards {
             all_done &= self.transfer_leadership(&shard).await;
--- a/src/node/ledger.rs
+++ b/src/node/ledger.rs
@@ -81,7 +81,7 @@
 
     /// Continues under a later epoch of the same leader.
     pub(crate) fn renew(&self, epoch: LeaderEpoch, epoch_revision: u64) {
-        self.change(|head| {
+        self.update_head(|head| {
             head.epoch = epoch;
             head.epoch_revision = epoch_revision;
         });
@@ -91,13 +91,13 @@
         *self.head.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn change(&self, change: impl FnOnce(&mut LedgerHead)) {
+    fn update_head(&self, change: impl FnOnce(&mut LedgerHead)) {
         change(&mut self.head.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
     /// Reads the whole ledger; each page may take `time`. Only the leader of the current epoch can write, so the pages
-    /// are consistent. Job records and progress are read concurrently because callers wait meanwhile: 740 jobs took 112
-    /// ms, and 151 ms when read one kind after the other.
+    /// are consistent. Job records and progress are read concurrently because callers wait meanwhile: 740 jobs took
+    /// 112 ms, and 151 ms when read one kind after the other.
     pub(crate) async fn load(&self, time: Duration) -> Result<RestoredState> {
         let started = Instant::now();
         let (group_key, workers_key) = (self.keys.group(), self.keys.workers());
@@ -111,7 +111,7 @@
         .await;
         self.tries.tried(LEDGER_DUTY, &read);
         let (group, workers, records, progress) = read?;
-        self.change(|head| head.group_revision = group.map_or(0, |item| item.revision));
+        self.update_head(|head| head.group_revision = group.map_or(0, |item| item.revision));
         let workers = workers.map_or_else(|| Some(Vec::new()), |item| decode(&item));
         let jobs = join(records, progress);
         info!(jobs = jobs.len(), took_ms = started.elapsed().as_millis() as u64; "ledger read");
@@ -159,7 +159,7 @@
                 KeyTransaction { conditions, writes: writes.clone(), removes: removes.clone() };
             match self.send_once(&id, &change).await {
                 Ok(TransactionOutcome::Done(revision)) => {
-                    self.change(|head| head.group_revision = revision);
+                    self.update_head(|head| head.group_revision = revision);
                     break GroupOutcome::Stored { taken };
                 }
                 Ok(TransactionOutcome::Conflict(items)) => {
@@ -222,7 +222,7 @@
         if let Some(item) = group
             && item.value == id.as_bytes()
         {
-            self.change(|head| head.group_revision = item.revision);
+            self.update_head(|head| head.group_revision = item.revision);
             return GroupConflict::Stored;
         }
         let epoch = items.iter().find(|item| item.key == epoch_key).map(|item| item.revision);
--- a/src/node/probe.rs
+++ b/src/node/probe.rs
@@ -80,8 +80,9 @@
         }
         let view = shared.members.borrow().clone();
         let leaders = view.all_shards().map(|shards| {
-            let led = shards.into_iter().map(|shard| (view.leader(&shard).cloned(), shard));
-            led.map(|(leader, shard)| (shard, leader)).collect::<BTreeMap<_, _>>()
+            let leaders_by_shard =
+                shards.into_iter().map(|shard| (view.leader(&shard).cloned(), shard));
+            leaders_by_shard.map(|(leader, shard)| (shard, leader)).collect::<BTreeMap<_, _>>()
         });
         let body = serde_json::json!({
             "entry": &*shared.settings.name,
