--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,6 +1,7 @@
-//! The adapter to the users' platform: the only place that knows its names, paths and bodies.
+//! The adapter to the platform's protocol: its names, paths and bodies occur in this module only.
 //!
-//! It decodes once into types of the project and holds no decision, and no state but connections.
+//! It decodes messages into the crate's own types. It makes no decisions, and its only state is open
+//! connections.
 
 mod advisor;
 mod configuration;
--- a/src/platform/advisor.rs
+++ b/src/platform/advisor.rs
@@ -1,4 +1,4 @@
-//! The service that gives placement advice.
+//! Client of the platform's placement advice service.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 
 #[derive(Debug)]
 #[derive(Serialize)]
-struct WireQuestion<'c> {
+struct WireAdviceRequest<'c> {
     step: String,
     workers: &'c [WorkerId],
 }
@@ -29,7 +29,7 @@
     allowed: Vec<(WorkerId, TicketText)>,
 }
 
-/// A client of the service.
+/// A client of the placement advice service.
 #[derive(Clone, Debug)]
 pub(crate) struct AdvisorClient {
     address: SocketAddr,
@@ -41,13 +41,13 @@
         Self { address, client: HttpClient::new() }
     }
 
-    /// Asks which of some workers may run a step; gives those with their tickets.
+    /// Asks which of the given workers may run a step. Returns the allowed workers with their tickets.
     pub(crate) async fn advise(
         &self,
         job: &GraphId,
         step: StepKey,
         workers: &[WorkerId],
-        time: Duration,
+        timeout: Duration,
     ) -> Result<Vec<(WorkerId, TicketText)>> {
         let step = format!("{job}.{}.{}", step.occurrence, step.step);
         let call = JsonCall {
@@ -56,9 +56,10 @@
             address: self.address,
             path: ADVISE_PATH,
             headers: &[],
-            time,
+            timeout,
         };
-        let response = send_json(&self.client, call, Some(&WireQuestion { step, workers })).await?;
+        let response =
+            send_json(&self.client, call, Some(&WireAdviceRequest { step, workers })).await?;
         match response.status() {
             StatusCode::OK => Ok(read_json::<WireAdvice>(&response)?.allowed),
             status => Err(ClientError::NoAnswer(status.to_string())),
--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration as it stands in the store.
+//! The operator's configuration, as stored in the platform's store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,9 +8,9 @@
 use crate::graph::{AdviceRule, PoolRule, QueueConfig, QueueRule, RequestLimits};
 use crate::id::{Revision, ServiceId};
 
-/// Key of the newest configuration.
+/// Key of the current configuration.
 pub(crate) const CONFIG_KEY: &str = "op/config";
-/// Prefix that is watched for it.
+/// Prefix that is watched for changes of the configuration.
 pub(crate) const CONFIG_PREFIX: &str = "op/";
 
 #[derive(Debug)]
@@ -60,7 +60,7 @@
 #[derive(Deserialize)]
 struct WireService {
     name: ServiceId,
-    /// Whether its workers refuse what does not fit.
+    /// Whether the service's workers refuse tasks that exceed their capacity.
     #[serde(rename = "admission_check", default)]
     enforces_capacity: bool,
     #[serde(default)]
@@ -84,18 +84,22 @@
 /// Decodes a configuration.
 ///
 /// # Errors
-/// What cannot be read.
+/// Returns an error if the bytes are not a valid configuration.
 pub(crate) fn decode_config(bytes: &[u8]) -> Result<QueueConfig, serde_json::Error> {
     let wire: WireConfig = serde_json::from_slice(bytes)?;
-    let pool = |service: WireService| {
+    let pool_rule = |service: WireService| {
         let rule =
             PoolRule { enforces_capacity: service.enforces_capacity, standby: service.standby };
         (service.name, rule)
     };
     Ok(QueueConfig {
         version: wire.version,
-        queues: wire.routes.into_iter().map(|route| (route.name.clone(), queue(route))).collect(),
-        pools: wire.services.into_iter().map(pool).collect(),
+        queues: wire
+            .routes
+            .into_iter()
+            .map(|route| (route.name.clone(), queue_rule(route)))
+            .collect(),
+        pools: wire.services.into_iter().map(pool_rule).collect(),
         limits: RequestLimits {
             body_bytes: wire.limits.max_body_bytes,
             head_time: millis(wire.limits.header_timeout_ms),
@@ -103,8 +107,8 @@
     })
 }
 
-fn queue(route: WireRoute) -> Arc<QueueRule> {
-    let advice = |wire: WireAdvice| AdviceRule {
+fn queue_rule(route: WireRoute) -> Arc<QueueRule> {
+    let advice_rule = |wire: WireAdvice| AdviceRule {
         call: millis(wire.decide_ms),
         each: millis(wire.each_ms),
         valid: millis(wire.valid_ms),
@@ -118,7 +122,7 @@
         max_attempts: route.max_attempts.max(1),
         slack: route.slack_factor,
         target: millis(route.target_latency_ms),
-        advice: route.advice.map(advice),
+        advice: route.advice.map(advice_rule),
     })
 }
 
--- a/src/platform/empty_store.rs
+++ b/src/platform/empty_store.rs
@@ -1,4 +1,4 @@
-//! A stand-in of the platform's store for tests of what goes between an entry and it.
+//! A stand-in for the platform's store, for tests of the calls between an entry and the store.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -9,22 +9,24 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// A store without jobs or members that grants leases and takes changes.
+/// A store without jobs or members that grants leases and accepts transactions.
 #[derive(Default)]
 pub(crate) struct EmptyStore {
     last_lease: AtomicU64,
-    /// The lease that stands.
+    /// The current lease, if it has not ended.
     lease: Mutex<Option<u64>>,
-    /// Whether changes are carried out and not answered.
+    /// Whether transactions are carried out but never answered.
     pub(crate) loses_answers: AtomicBool,
+    /// Number of transactions that were not answered.
     pub(crate) lost: AtomicU64,
-    /// Whether changes are carried out and their answers kept until it is unset.
+    /// Whether transactions are carried out and their answers delayed until this is unset.
     pub(crate) keeps_answers: AtomicBool,
+    /// Number of transactions whose answers were not lost.
     pub(crate) changes: AtomicU64,
 }
 
 impl EmptyStore {
-    /// Serves a store on the loopback.
+    /// Starts a store on a free loopback port.
     pub(crate) async fn start() -> (Arc<Self>, SocketAddr) {
         let store = Arc::new(Self::default());
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -76,16 +78,16 @@
                 Some((200, "{\"items\":[],\"has_more\":false,\"as_of\":9}".to_owned()))
             }
             path if path.starts_with("/api/kv-keep/") => {
-                let stands = *self.lease.lock().unwrap();
+                let current = *self.lease.lock().unwrap();
                 let id = path.rsplit('/').next().and_then(|id| id.parse().ok());
-                let status = if id.is_some() && id == stands { 200 } else { 404 };
+                let status = if id.is_some() && id == current { 200 } else { 404 };
                 Some((status, "{\"ttl_ms\":1000}".to_owned()))
             }
             _ => Some((404, "{}".to_owned())),
         }
     }
 
-    /// The lease ends, and with it all keys under it.
+    /// Ends the current lease, and with it all keys under it.
     pub(crate) fn end_lease(&self) {
         *self.lease.lock().unwrap() = None;
     }
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! JSON calls over the project's HTTP client.
+//! JSON calls over the crate's HTTP client.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,21 +14,21 @@
 
 type Result<T> = std::result::Result<T, ClientError>;
 
-/// Largest answer, in bytes: a page of the store's items has about a megabyte, a third more in base64.
-const ANSWER_BYTES: usize = 8 << 20;
+/// Largest answer, in bytes. A page of the store's items has about a megabyte, and base64 adds a third.
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// A call to make.
 pub(super) struct JsonCall<'c> {
-    /// Counted under this name.
+    /// Value of the metrics' label `line`.
     pub(super) line: &'static str,
     pub(super) method: Method,
     pub(super) address: SocketAddr,
     pub(super) path: &'c str,
     pub(super) headers: &'c [(&'static str, &'c str)],
-    pub(super) time: Duration,
+    pub(super) timeout: Duration,
 }
 
-/// Sends a body as JSON and collects the answer.
+/// Sends a call with an optional JSON body and collects the answer.
 pub(super) async fn send_json<B: Serialize>(
     client: &HttpClient,
     call: JsonCall<'_>,
@@ -53,12 +53,12 @@
     let request = request
         .body(Full::new(Bytes::from(bytes)))
         .map_err(|error| ClientError::NotSent(error.to_string()))?;
-    let response = client.send(request, call.time, ANSWER_BYTES).await?;
+    let response = client.send(request, call.timeout, MAX_ANSWER_BYTES).await?;
     count_payload(call.line, response.body().len());
     Ok(response)
 }
 
-/// Reads an answer's body.
+/// Decodes an answer's JSON body.
 pub(super) fn read_json<T: DeserializeOwned>(response: &Response<Bytes>) -> Result<T> {
     serde_json::from_slice(response.body())
         .map_err(|error| ClientError::NoAnswer(format!("unreadable answer: {error}")))
--- a/src/platform/instance_start.rs
+++ b/src/platform/instance_start.rs
@@ -1,13 +1,14 @@
-//! How a worker says when its life began.
+//! Decodes the start time of a worker instance.
 
 use serde::{Deserialize, Deserializer};
 
 use crate::graph::InstanceStart;
 
-/// Decodes a life's start where there is one: anything but a whole number is unreadable, `null` too.
+/// Decodes the start time of a worker instance, for a field that may be absent. A value that is present has
+/// to be a whole number; `null` is an error, too.
 ///
 /// # Errors
-/// What the decoder says of another type.
+/// Returns the decoder's error for a value of another type.
 pub(super) fn decode_instance_start<'d, D: Deserializer<'d>>(
     decoder: D,
 ) -> std::result::Result<InstanceStart, D::Error> {
--- a/src/platform/jobs.rs
+++ b/src/platform/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as callers send them, and what callers are answered.
+//! Decodes the jobs that callers send and encodes the answers to callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,23 +12,23 @@
 use crate::problem::json_response;
 use crate::resources::ResourceVector;
 
-/// Where the balancer asks whether an entry takes connections.
+/// Path on which the load balancer checks whether an entry accepts connections.
 pub(crate) const READY_PATH: &str = "/api/readyz";
-/// How long a caller waits for its answer, in milliseconds.
-const PATIENCE_HEADER: &str = "Deadline-Ms";
+/// Header with the time that a caller waits for its answer, in milliseconds.
+const CALLER_TIMEOUT_HEADER: &str = "Deadline-Ms";
 /// Longest payload, in bytes.
-const PAYLOAD_BYTES: usize = 4_000;
-/// Length of a job's name: hexadecimal digits.
-const NAME_LENGTH: usize = 16;
-/// Longest time that a caller is taken to wait: twenty times what callers do. It bounds how long tries
-/// to reach a leader go on.
-const LONGEST_PATIENCE: Duration = Duration::from_secs(60);
-/// Mistakes that a refusal names at most.
-const MOST_MISTAKES: usize = 10;
-/// Longest text of a mistake, in characters: that of a mistake of syntax may quote the body.
-const MISTAKE_CHARACTERS: usize = 200;
-
-/// A yes or no that may be written as a number.
+const MAX_PAYLOAD_BYTES: usize = 4_000;
+/// Number of hexadecimal digits in a job's name.
+const JOB_NAME_LENGTH: usize = 16;
+/// Upper bound of a caller's timeout, twenty times the usual one. It limits how long an entry keeps
+/// trying to reach a leader.
+const MAX_CALLER_TIMEOUT: Duration = Duration::from_secs(60);
+/// Largest number of mistakes listed in a refusal.
+const MAX_MISTAKES: usize = 10;
+/// Longest text of a mistake, in characters. The text of a syntax error may quote the body.
+const MAX_MISTAKE_CHARACTERS: usize = 200;
+
+/// A boolean that may be written as a number.
 #[derive(Clone, Copy, Debug, Default)]
 #[derive(Deserialize)]
 #[serde(untagged)]
@@ -49,7 +49,7 @@
     }
 }
 
-/// A step; what is zero, false or empty may be left out.
+/// A step. Fields that are zero, false or empty may be left out.
 #[derive(Debug, Default)]
 #[derive(Deserialize)]
 #[serde(default)]
@@ -64,15 +64,15 @@
     gang: WireFlag,
     same_rack: WireFlag,
     required_label: Arc<str>,
-    /// Rack with the data.
+    /// Rack that holds the step's data.
     affinity: RackId,
     max_per_server: u32,
     speculative: WireFlag,
-    /// The tasks last until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled.
     persistent: WireFlag,
     image: Arc<str>,
     target_ms: f64,
-    /// The tasks use what others leave over.
+    /// Whether the tasks are best-effort: they use only capacity that other tasks leave free.
     fill_count: WireFlag,
     max_unavailable: u32,
 }
@@ -81,7 +81,7 @@
 #[derive(Deserialize)]
 #[serde(default)]
 struct WireJob {
-    /// The payload that goes to the worker with each task.
+    /// Payload that is sent to the worker with each task.
     spec: Arc<str>,
     steps: Vec<WireStep>,
     first_ms: UnixMillis,
@@ -101,31 +101,31 @@
     pending: usize,
 }
 
-/// Whether a text can be a job's name. Upper and lower case tell jobs apart, as names go to workers the
-/// way that callers wrote them.
+/// Returns whether a text is a valid job name. Names are case-sensitive, because they are sent to workers
+/// as callers wrote them.
 pub(crate) fn is_job_name(name: &str) -> bool {
-    name.len() == NAME_LENGTH && name.bytes().all(|byte| byte.is_ascii_hexdigit())
+    name.len() == JOB_NAME_LENGTH && name.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-/// Decodes a job of a queue; the first mistakes are told together.
+/// Decodes a job of a queue.
 ///
 /// # Errors
-/// What is wrong, in words for the caller.
+/// Returns the first mistakes together, as texts for the caller.
 pub(crate) fn decode_job(
     queue: &QueueId,
     name: &str,
     body: &[u8],
     accepted: UnixMillis,
 ) -> Result<GraphSpec, Vec<String>> {
-    let short = |text: String| text.chars().take(MISTAKE_CHARACTERS).collect();
+    let truncated = |text: String| text.chars().take(MAX_MISTAKE_CHARACTERS).collect();
     let wire: WireJob =
-        serde_json::from_slice(body).map_err(|error| vec![short(error.to_string())])?;
+        serde_json::from_slice(body).map_err(|error| vec![truncated(error.to_string())])?;
     let mut mistakes = Vec::new();
     if !is_job_name(name) {
-        mistakes.push(format!("the job's name has to have {NAME_LENGTH} hexadecimal digits"));
+        mistakes.push(format!("the job's name has to have {JOB_NAME_LENGTH} hexadecimal digits"));
     }
-    if wire.spec.len() > PAYLOAD_BYTES {
-        mistakes.push(format!("{} bytes of payload: at most {PAYLOAD_BYTES}", wire.spec.len()));
+    if wire.spec.len() > MAX_PAYLOAD_BYTES {
+        mistakes.push(format!("{} bytes of payload: at most {MAX_PAYLOAD_BYTES}", wire.spec.len()));
     }
     mistakes.extend(negative_times(&wire.steps));
     let repeat = (wire.repeat_count > 0).then(|| RepeatRule {
@@ -137,12 +137,12 @@
         id: name.into(),
         queue: queue.clone(),
         payload: wire.spec,
-        steps: wire.steps.into_iter().map(step).collect(),
+        steps: wire.steps.into_iter().map(step_spec).collect(),
         repeat,
         accepted,
     };
     mistakes.extend(spec.mistakes());
-    mistakes.truncate(MOST_MISTAKES);
+    mistakes.truncate(MAX_MISTAKES);
     match mistakes.is_empty() {
         true => Ok(spec),
         false => Err(mistakes),
@@ -150,26 +150,26 @@
 }
 
 fn negative_times(steps: &[WireStep]) -> impl Iterator<Item = String> {
-    let negative = |step: &WireStep| step.estimated_ms < 0.0 || step.target_ms < 0.0;
-    let found = steps.iter().enumerate().filter(move |(_, step)| negative(step));
-    found.map(|(index, _)| format!("step {index} has a negative time"))
+    let has_negative_time = |step: &WireStep| step.estimated_ms < 0.0 || step.target_ms < 0.0;
+    let invalid = steps.iter().enumerate().filter(move |(_, step)| has_negative_time(step));
+    invalid.map(|(index, _)| format!("step {index} has a negative time"))
 }
 
-/// The steps that a step waits for, each once.
-fn distinct(mut steps: Vec<StepIndex>) -> Vec<StepIndex> {
+/// Sorts the indices of steps and removes duplicates.
+fn sorted_distinct(mut steps: Vec<StepIndex>) -> Vec<StepIndex> {
     steps.sort_unstable();
     steps.dedup();
     steps
 }
 
-fn step(wire: WireStep) -> StepSpec {
+fn step_spec(wire: WireStep) -> StepSpec {
     let text = |text: Arc<str>| (!text.is_empty()).then_some(text);
     let number = |number: u32| (number > 0).then_some(number);
     StepSpec {
         count: wire.count,
         need: ResourceVector::new(wire.millicpu, wire.mem_mb, wire.gpus),
         estimate: Duration::from_millis(wire.estimated_ms.max(0.0) as u64),
-        after: distinct(wire.after),
+        after: sorted_distinct(wire.after),
         checkpoints: wire.checkpointing.is_set(),
         gang: wire.gang.is_set(),
         one_rack: wire.same_rack.is_set(),
@@ -185,22 +185,22 @@
     }
 }
 
-/// How long a caller waits, where it says so.
+/// Decodes the caller's timeout from the headers, if it is set.
 ///
 /// # Errors
-/// What is wrong, in words for the caller.
+/// Returns a text for the caller if the value is not a valid time.
 pub(crate) fn decode_caller_timeout(headers: &HeaderMap) -> Result<Option<Duration>, &'static str> {
-    let Some(value) = headers.get(PATIENCE_HEADER) else {
+    let Some(value) = headers.get(CALLER_TIMEOUT_HEADER) else {
         return Ok(None);
     };
     let millis = value.to_str().ok().and_then(|text| text.parse::<f64>().ok());
     match millis.filter(|millis| millis.is_finite() && *millis >= 0.0) {
-        Some(millis) => Ok(Some(Duration::from_millis(millis as u64).min(LONGEST_PATIENCE))),
+        Some(millis) => Ok(Some(Duration::from_millis(millis as u64).min(MAX_CALLER_TIMEOUT))),
         None => Err("the time to wait has to be a number of milliseconds, 0 or more"),
     }
 }
 
-/// A job's state as callers get it.
+/// Encodes a job's state as an answer to a caller.
 pub(crate) fn encode_state(state: GraphState) -> Response<Body> {
     let state = match state {
         GraphState::Queued => "queued",
@@ -212,7 +212,7 @@
     json_response(StatusCode::OK, &WireState { state })
 }
 
-/// The number of jobs that wait in a queue.
+/// Encodes the number of jobs that wait in a queue as an answer to a caller.
 pub(crate) fn encode_pending(pending: usize) -> Response<Body> {
     json_response(StatusCode::OK, &WirePending { pending })
 }
--- a/src/platform/registrations.rs
+++ b/src/platform/registrations.rs
@@ -1,4 +1,4 @@
-//! How workers register in the store.
+//! Decodes the registrations of workers in the store.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -17,35 +17,35 @@
 
 /// Prefix of the keys of all workers.
 pub(crate) const REGISTRATION_PREFIX: &str = "servers/";
-/// Start of a label that names a rack; all others name a kind.
-const RACK_LABEL: char = 'r';
+/// Prefix of a label that names a rack. All other labels name a kind of worker.
+const RACK_LABEL_PREFIX: char = 'r';
 
-/// Why a registration names no worker.
+/// Why a registration is rejected.
 #[derive(Debug)]
 #[derive(Error)]
 pub(crate) enum RegistrationError {
-    /// The key's id is empty or cannot stand in the head of a call.
+    /// The worker id in the key is empty or not valid in an HTTP header.
     #[error("its key names no worker")]
     Key,
-    /// The value cannot be read, or a field is missing or of another type.
+    /// The value is not valid JSON, or a field is missing or of another type.
     #[error("it cannot be read: {0}")]
     Value(#[from] serde_json::Error),
-    /// A field has a value that means nothing.
+    /// A field has an invalid value.
     #[error("its {0} means nothing")]
     Field(&'static str),
 }
 
-/// What a worker says of itself; any other state names no worker.
+/// State of a worker. A registration with any other state is rejected.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 enum WireState {
     Ready,
-    /// It is leaving.
+    /// The worker is leaving.
     Draining,
 }
 
-/// Room of a worker.
+/// Capacity of a worker.
 #[derive(Debug)]
 #[derive(Deserialize)]
 struct WireCapacity {
@@ -54,8 +54,8 @@
     gpus: u32,
 }
 
-/// A worker's registration. Fields that nothing here uses are decoded too: an entry without them, or with
-/// another type, was not written by a worker.
+/// A worker's registration. Unused fields are decoded as well, because a registration that lacks one of
+/// them or has it with another type was not written by a worker.
 #[derive(Debug)]
 #[derive(Deserialize)]
 struct WireRegistration {
@@ -72,50 +72,51 @@
     #[serde(rename = "sequence")]
     _sequence: f64,
     capacity: WireCapacity,
-    /// Start of this life of the worker.
+    /// Start time of this instance of the worker.
     #[serde(default, deserialize_with = "decode_instance_start")]
     born: InstanceStart,
     /// Kind and rack.
     labels: Vec<Arc<str>>,
     #[serde(default)]
     machine: Option<MachineId>,
-    /// Shortest time that is left, while it is leaving.
+    /// Shortest time until the worker is gone, while it is leaving.
     #[serde(default)]
     remaining_ms: Option<f64>,
 }
 
 impl WireRegistration {
-    /// The first field whose value means nothing.
-    fn senseless(&self) -> Option<&'static str> {
+    /// Returns the name of the first field with an invalid value.
+    fn invalid_field(&self) -> Option<&'static str> {
         let rules = [
             ("service", self.service.is_empty()),
             ("address", !is_callable(&self.address)),
             ("failure domain", self.zone.is_empty()),
         ];
-        rules.into_iter().find(|(_, broken)| *broken).map(|(name, _)| name)
+        rules.into_iter().find(|(_, is_invalid)| *is_invalid).map(|(name, _)| name)
     }
 }
 
-/// The worker that a key is about. Its id goes into the head of each call to it.
+/// Returns the worker whose registration is stored under a key, or `None` if the id is not valid in an HTTP
+/// header: it is sent with each call to the worker.
 pub(crate) fn worker_of_key(key: &str) -> Option<WorkerId> {
     let id = key.strip_prefix(REGISTRATION_PREFIX)?;
-    let plain = id.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'/');
-    (plain && !id.is_empty()).then(|| WorkerId::from(id))
+    let is_valid = id.bytes().all(|byte| byte.is_ascii_graphic() && byte != b'/');
+    (is_valid && !id.is_empty()).then(|| WorkerId::from(id))
 }
 
 /// Decodes a registration.
 ///
 /// # Errors
-/// Why it names no worker.
+/// Returns the reason why the registration is rejected.
 pub(crate) fn decode_registration(item: &KeyItem) -> Result<WorkerRegistration> {
     let id = worker_of_key(&item.key).ok_or(RegistrationError::Key)?;
     let wire: WireRegistration = serde_json::from_slice(&item.value)?;
-    if let Some(field) = wire.senseless() {
+    if let Some(field) = wire.invalid_field() {
         return Err(RegistrationError::Field(field));
     }
-    let rack = wire.labels.iter().find(|label| is_rack(label));
+    let rack = wire.labels.iter().find(|label| is_rack_label(label));
     let rack = rack.map_or_else(|| RackId::from(""), RackId::clone);
-    let left = || Duration::from_millis(wire.remaining_ms.unwrap_or(0.0).max(0.0) as u64);
+    let remaining = || Duration::from_millis(wire.remaining_ms.unwrap_or(0.0).max(0.0) as u64);
     let WireCapacity { millicpu, mem_mb, gpus } = wire.capacity;
     Ok(WorkerRegistration {
         id,
@@ -126,20 +127,20 @@
         rack,
         machine: wire.machine,
         capacity: ResourceVector::new(millicpu, mem_mb, gpus),
-        leaving: (wire.state == WireState::Draining).then(left),
+        leaving: (wire.state == WireState::Draining).then(remaining),
         labels: wire.labels,
     })
 }
 
-/// Whether a call can be made to an address.
+/// Returns whether calls can be made to an address.
 fn is_callable(address: &SocketAddr) -> bool {
     let ip = address.ip();
     let broadcast = ip == IpAddr::V4(Ipv4Addr::BROADCAST);
     address.port() != 0 && !ip.is_unspecified() && !ip.is_multicast() && !broadcast
 }
 
-/// Racks are written like `r1-3`.
-fn is_rack(label: &str) -> bool {
-    let number = label.strip_prefix(RACK_LABEL).and_then(|rest| rest.split_once('-'));
+/// Returns whether a label names a rack, as `r1-3` does.
+fn is_rack_label(label: &str) -> bool {
+    let number = label.strip_prefix(RACK_LABEL_PREFIX).and_then(|rest| rest.split_once('-'));
     number.is_some_and(|(first, _)| first.bytes().all(|byte| byte.is_ascii_digit()))
 }
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -10,18 +10,18 @@
 use crate::graph::GraphBounds;
 use crate::node::NodeSettings;
 
-/// Names the file.
+/// Environment variable with the path of the settings file.
 pub const SETTINGS_VARIABLE: &str = "KELPLINK_SETTINGS";
-/// Lease of an earlier leader that counts where the file says nothing.
-const LONGEST_LEASE_MS: u64 = 6_000;
-/// How long an ended job can be asked for where the file says nothing.
-const REMEMBERED_S: f64 = 120.0;
-/// How long workers' leases are renewed after the leader's own: with the worker's
-/// lease of 4.5 s, runs outlive a store that is away for nine seconds; a successor has to wait it out,
+/// Longest lease that an earlier leader may have granted, unless the file sets it.
+const DEFAULT_LONGEST_LEASE_MS: u64 = 6_000;
+/// How long the state of an ended job can be queried, unless the file sets it.
+const DEFAULT_RETENTION_S: f64 = 120.0;
+/// How long a leader renews the leases of workers after its own lease has expired. With a worker lease of
+/// 4.5 s, runs survive a store outage of nine seconds. A new leader has to wait for the end of this window,
 /// but only for workers that it cannot reach.
-const BLIND_TIME: Duration = Duration::from_millis(5_000);
+const LEASE_EXTENSION_WINDOW: Duration = Duration::from_millis(5_000);
 
-/// Port of the metrics; the deploy file names it too.
+/// Port of the metrics. The deployment file contains the same number.
 const METRICS_PORT: u16 = 9_464;
 
 #[derive(Debug)]
@@ -31,7 +31,7 @@
     ip: IpAddr,
     #[serde(default)]
     zone: String,
-    /// First and last port that are free for traffic between entries.
+    /// First and last port of the range for traffic between entries.
     internal_ports: (u16, u16),
     #[serde(default)]
     advisor: Option<SocketAddr>,
@@ -77,7 +77,7 @@
 
 impl Default for WireBounds {
     fn default() -> Self {
-        Self { hold_max_ms: LONGEST_LEASE_MS, status_s: REMEMBERED_S, grace_s: 6.0 }
+        Self { hold_max_ms: DEFAULT_LONGEST_LEASE_MS, status_s: DEFAULT_RETENTION_S, grace_s: 6.0 }
     }
 }
 
@@ -87,36 +87,36 @@
     address: SocketAddr,
 }
 
-/// Parses the platform's settings file; fields that are not known are ignored.
+/// Parses the platform's settings file. Unknown fields are ignored.
 ///
 /// # Errors
-/// What is missing or wrong, with its place.
+/// Returns what is missing or invalid, with its position in the file.
 pub fn parse_platform_settings(source: &str, text: &str) -> Result<NodeSettings, DiagnosticList> {
     let wire: WireSettings = toml::from_str(text).map_err(|error| {
         let offset = error.span().map_or(0, |span| span.start);
         let diagnostic = InputDiagnostic::at(source, text, offset, error.message().to_owned());
         DiagnosticList(vec![diagnostic])
     })?;
-    let mut findings = Vec::new();
-    let mut wrong = |name: &str, message: &str| {
+    let mut diagnostics = Vec::new();
+    let mut report = |name: &str, message: &str| {
         let offset = text.find(name).unwrap_or(0);
-        findings.push(InputDiagnostic::at(source, text, offset, message.to_owned()));
+        diagnostics.push(InputDiagnostic::at(source, text, offset, message.to_owned()));
     };
     let (first, last) = wire.internal_ports;
     if last <= first {
-        wrong("internal_ports", "`internal_ports`: expected two ports or more, lowest first");
+        report("internal_ports", "`internal_ports`: expected two ports or more, lowest first");
     }
     if wire.node.is_empty() {
-        wrong("node", "`node`: expected a name");
+        report("node", "`node`: expected a name");
     }
     if wire.bounds.hold_max_ms == 0 {
-        wrong("hold_max_ms", "`hold_max_ms`: expected more than 0");
+        report("hold_max_ms", "`hold_max_ms`: expected more than 0");
     }
     if wire.limits.cpu_share <= 0.0 || wire.limits.cores <= 0.0 {
-        wrong("cpu_share", "`cpu_share` and `cores`: expected more than 0");
+        report("cpu_share", "`cpu_share` and `cores`: expected more than 0");
     }
-    if !findings.is_empty() {
-        return Err(DiagnosticList(findings));
+    if !diagnostics.is_empty() {
+        return Err(DiagnosticList(diagnostics));
     }
     Ok(NodeSettings {
         name: wire.node.as_str().into(),
@@ -134,7 +134,7 @@
         bounds: GraphBounds {
             longest_lease: Duration::from_millis(wire.bounds.hold_max_ms),
             retention: seconds(wire.bounds.status_s),
-            lease_extension_window: BLIND_TIME,
+            lease_extension_window: LEASE_EXTENSION_WINDOW,
         },
     })
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store.
+//! Client of the platform's store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -28,14 +28,14 @@
 const KEEP_PATH: &str = "/api/kv-keep";
 const END_PATH: &str = "/api/kv-lease-end";
 
-/// Longest time for one call: answers take 4 ms, 240 ms where the store is sixty times slower.
-const CALL_TIME: Duration = Duration::from_millis(800);
-/// Longest time for a page of a range: a megabyte over a link of 20 Mbit/s takes half a second.
+/// Timeout of a call. Answers take 4 ms, or 240 ms when the store is sixty times slower.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of a call for a page of a range. A megabyte over a link of 20 Mbit/s takes half a second.
 pub(crate) const PAGE_TIME: Duration = Duration::from_millis(2_500);
-/// Added to a watch's own time before it counts as cut.
+/// Added to a watch's wait time to get the timeout of its call.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
 
-/// A value as the store gives it out, or what another writer has left in its place.
+/// A value as the store returns it. Another writer may have stored something that is not a text.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(untagged)]
@@ -44,7 +44,7 @@
     Other(IgnoredAny),
 }
 
-/// An item, an event, or either without the parts that it does not have.
+/// An item or an event. Fields that an event of a removed key lacks are optional.
 #[derive(Debug)]
 #[derive(Deserialize)]
 struct WireItem {
@@ -57,11 +57,11 @@
     deleted: bool,
 }
 
-/// A place in a list: one that holds something else does not make the list unreadable.
+/// An element of a list. An element that is not an item does not make the whole list unreadable.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(untagged)]
-enum WireSlot {
+enum WireListEntry {
     Item(WireItem),
     Other(IgnoredAny),
 }
@@ -70,17 +70,17 @@
 #[derive(Deserialize)]
 pub(super) struct WirePage {
     #[serde(default)]
-    items: Vec<WireSlot>,
+    items: Vec<WireListEntry>,
     #[serde(default)]
     has_more: bool,
-    /// The store's revision when it answered.
+    /// The store's revision at the time of the answer.
     #[serde(rename = "as_of", default)]
     revision: u64,
 }
 
 impl From<WirePage> for KeyPage {
     fn from(page: WirePage) -> Self {
-        let items = page.items.into_iter().filter_map(named).map(item).collect();
+        let items = page.items.into_iter().filter_map(readable_item).map(key_item).collect();
         Self { items, more: page.has_more, revision: page.revision }
     }
 }
@@ -89,8 +89,8 @@
 #[derive(Deserialize)]
 struct WireEvents {
     #[serde(default)]
-    events: Vec<WireSlot>,
-    /// Where the next watch goes on.
+    events: Vec<WireListEntry>,
+    /// Revision from which the next watch continues.
     #[serde(rename = "as_of", default)]
     revision: u64,
 }
@@ -110,17 +110,17 @@
 
 #[derive(Debug)]
 #[derive(Serialize)]
-struct WireSet<'t> {
+struct WireKeyWrite<'t> {
     key: &'t str,
     value: String,
     #[serde(skip_serializing_if = "is_zero")]
     lease: u64,
 }
 
-impl<'t> WireSet<'t> {
-    fn new(set: &'t KeyWrite) -> Self {
-        let value = STANDARD.encode(&set.value);
-        Self { key: &set.key, value, lease: set.lease.unwrap_or(0) }
+impl<'t> WireKeyWrite<'t> {
+    fn new(write: &'t KeyWrite) -> Self {
+        let value = STANDARD.encode(&write.value);
+        Self { key: &write.key, value, lease: write.lease.unwrap_or(0) }
     }
 }
 
@@ -131,9 +131,9 @@
 #[derive(Debug)]
 #[derive(Serialize)]
 struct WireTransaction<'t> {
-    /// Revision that each key must have; 0 where it must not exist.
+    /// Revision that each key must have, or 0 if the key must not exist.
     expected_revision: Vec<WireCondition<'t>>,
-    set_keys: Vec<WireSet<'t>>,
+    set_keys: Vec<WireKeyWrite<'t>>,
     remove: &'t [String],
 }
 
@@ -167,28 +167,28 @@
         Self { address, client: HttpClient::new() }
     }
 
-    /// Reads a key; `None` where it does not exist.
+    /// Reads a key. Returns `None` if it does not exist.
     pub(crate) async fn get(&self, key: &str) -> Result<Option<KeyItem>> {
         let path = format!("{KEY_PATH}?key={}", escape_query(key));
-        let response = self.read(&path, CALL_TIME).await?;
+        let response = self.read(&path, CALL_TIMEOUT).await?;
         match response.status() {
-            StatusCode::OK => Ok(Some(item(read(&response)?))),
+            StatusCode::OK => Ok(Some(key_item(decode(&response)?))),
             StatusCode::NOT_FOUND => Ok(None),
-            status => Err(refused(status)),
+            status => Err(status_error(status)),
         }
     }
 
-    /// Reads a page of the keys that begin with a prefix, after a key.
+    /// Reads a page of the keys that begin with a prefix and sort after a key.
     pub(crate) async fn page(&self, prefix: &str, after: &str) -> Result<KeyPage> {
         self.page_within(prefix, after, PAGE_TIME).await
     }
 
-    /// The same where its answer may take a time of its own.
+    /// Does the same as [`Self::page`], with another timeout.
     pub(crate) async fn page_within(
         &self,
         prefix: &str,
         after: &str,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<KeyPage> {
         let path = match after.is_empty() {
             true => format!("{RANGE_PATH}?prefix={}", escape_query(prefix)),
@@ -197,17 +197,17 @@
                 format!("{RANGE_PATH}?prefix={prefix}&after={after}")
             }
         };
-        let response = self.read(&path, time).await?;
+        let response = self.read(&path, timeout).await?;
         match response.status() {
             StatusCode::OK => {
-                let page: WirePage = read(&response)?;
+                let page: WirePage = decode(&response)?;
                 Ok(page.into())
             }
-            status => Err(refused(status)),
+            status => Err(status_error(status)),
         }
     }
 
-    /// Waits for changes of keys that begin with a prefix, after a revision.
+    /// Waits for changes after a revision to keys that begin with a prefix.
     pub(crate) async fn watch(
         &self,
         prefix: &str,
@@ -220,81 +220,85 @@
         let response = self.read(&path, wait + WATCH_SLACK).await?;
         match response.status() {
             StatusCode::OK => {
-                let events: WireEvents = read(&response)?;
+                let events: WireEvents = decode(&response)?;
                 let revision = events.revision;
-                let events = events.events.into_iter().filter_map(named).map(event).collect();
+                let events =
+                    events.events.into_iter().filter_map(readable_item).map(key_event).collect();
                 Ok(WatchOutcome::Events { events, revision })
             }
             StatusCode::GONE => Ok(WatchOutcome::HistoryGone),
-            status => Err(refused(status)),
+            status => Err(status_error(status)),
         }
     }
 
-    /// Changes keys under conditions, all or nothing.
-    pub(crate) async fn transact(&self, change: &KeyTransaction) -> Result<TransactionOutcome> {
+    /// Applies a transaction: all its changes if all its conditions hold, otherwise none.
+    pub(crate) async fn transact(
+        &self,
+        transaction: &KeyTransaction,
+    ) -> Result<TransactionOutcome> {
         let body = WireTransaction {
-            expected_revision: change.conditions.iter().map(WireCondition::new).collect(),
-            set_keys: change.writes.iter().map(WireSet::new).collect(),
-            remove: &change.removes,
+            expected_revision: transaction.conditions.iter().map(WireCondition::new).collect(),
+            set_keys: transaction.writes.iter().map(WireKeyWrite::new).collect(),
+            remove: &transaction.removes,
         };
         let response = self.write(Method::POST, TRANSACTION_PATH, Some(&body)).await?;
         match response.status() {
             StatusCode::OK => {
-                let done: WireRevision = read(&response)?;
+                let done: WireRevision = decode(&response)?;
                 Ok(TransactionOutcome::Done(done.revision))
             }
             StatusCode::PRECONDITION_FAILED => {
-                let page: WirePage = read(&response)?;
-                let items = page.items.into_iter().filter_map(named);
-                let items = items.filter(|item| item.value.is_some()).map(item).collect();
+                let page: WirePage = decode(&response)?;
+                let items = page.items.into_iter().filter_map(readable_item);
+                let items = items.filter(|item| item.value.is_some()).map(key_item).collect();
                 Ok(TransactionOutcome::Conflict(items))
             }
             StatusCode::NOT_FOUND => Ok(TransactionOutcome::NoLease),
-            status => Err(refused(status)),
+            status => Err(status_error(status)),
         }
     }
 
-    /// Makes a lease.
+    /// Creates a lease.
     pub(crate) async fn create_lease(&self, ttl: Duration) -> Result<LeaseId> {
         let body = WireTtl { ttl_ms: u64::try_from(ttl.as_millis()).unwrap_or(u64::MAX) };
         let response = self.write(Method::POST, LEASE_PATH, Some(&body)).await?;
         match response.status() {
-            StatusCode::OK => Ok(read::<WireLease>(&response)?.lease),
-            status => Err(refused(status)),
+            StatusCode::OK => Ok(decode::<WireLease>(&response)?.lease),
+            status => Err(status_error(status)),
         }
     }
 
-    /// Renews a lease; tells whether it still existed.
+    /// Renews a lease. Returns whether it still existed.
     pub(crate) async fn renew_lease(&self, lease: LeaseId) -> Result<bool> {
         let path = format!("{KEEP_PATH}/{lease}");
         let response = self.write::<()>(Method::POST, &path, None).await?;
         match response.status() {
             StatusCode::OK => Ok(true),
             StatusCode::NOT_FOUND => Ok(false),
-            status => Err(refused(status)),
+            status => Err(status_error(status)),
         }
     }
 
-    /// Ends a lease; its keys go at once.
+    /// Ends a lease and removes its keys.
     pub(crate) async fn end_lease(&self, lease: LeaseId) -> Result<()> {
         let path = format!("{END_PATH}/{lease}");
         let response = self.write::<()>(Method::DELETE, &path, None).await?;
         match response.status() {
             StatusCode::OK | StatusCode::NOT_FOUND => Ok(()),
-            status => Err(refused(status)),
+            status => Err(status_error(status)),
         }
     }
 
-    async fn read(&self, path: &str, time: Duration) -> Result<Response<Bytes>> {
+    async fn read(&self, path: &str, timeout: Duration) -> Result<Response<Bytes>> {
         let call = JsonCall {
             line: "store",
             method: Method::GET,
             address: self.address,
             path,
             headers: &[],
-            time,
+            timeout,
         };
-        send_json::<()>(&self.client, call, None).await.map_err(failed)
+        send_json::<()>(&self.client, call, None).await.map_err(store_error)
     }
 
     async fn write<B: Serialize>(
@@ -309,13 +313,14 @@
             address: self.address,
             path,
             headers: &[],
-            time: CALL_TIME,
+            timeout: CALL_TIMEOUT,
         };
-        send_json(&self.client, call, body).await.map_err(failed)
+        send_json(&self.client, call, body).await.map_err(store_error)
     }
 }
 
-/// A text as it stands in a query: a page that ends with a strange key has a next one, too.
+/// Percent-encodes a text for a query. Without it, a page that ends with a key with reserved characters
+/// could not be continued.
 pub(super) fn escape_query(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for byte in text.bytes() {
@@ -328,20 +333,20 @@
     escaped
 }
 
-fn read<T: serde::de::DeserializeOwned>(response: &Response<Bytes>) -> Result<T> {
-    read_json(response).map_err(failed)
+fn decode<T: serde::de::DeserializeOwned>(response: &Response<Bytes>) -> Result<T> {
+    read_json(response).map_err(store_error)
 }
 
-fn failed(error: ClientError) -> StoreError {
+fn store_error(error: ClientError) -> StoreError {
     match error {
         ClientError::NotSent(reason) | ClientError::Refused(reason) => StoreError::NotDone(reason),
         ClientError::NoAnswer(reason) => StoreError::Unknown(reason),
     }
 }
 
-/// The store says of 429 and 503 that nothing was done; of any other answer that is assumed to be
-/// unknown.
-fn refused(status: StatusCode) -> StoreError {
+/// Maps an unexpected status to an error. By the store's contract nothing was done after 429 and 503; after
+/// any other status the outcome is treated as unknown.
+fn status_error(status: StatusCode) -> StoreError {
     match status {
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
             StoreError::NotDone(status.to_string())
@@ -350,33 +355,34 @@
     }
 }
 
-/// The item in a place of a list, if one is there.
-fn named(slot: WireSlot) -> Option<WireItem> {
-    match slot {
-        WireSlot::Item(item) => Some(item),
-        WireSlot::Other(_) => {
+/// Returns the item in an element of a list, or `None` if the element is something else.
+fn readable_item(entry: WireListEntry) -> Option<WireItem> {
+    match entry {
+        WireListEntry::Item(item) => Some(item),
+        WireListEntry::Other(_) => {
             count_unreadable(UnreadableKind::Item);
-            warn!("the store lists what is no item");
+            warn!("skipped an unreadable item in an answer of the store");
             None
         }
     }
 }
 
-/// The bytes of a value; none where they cannot be read: whoever decodes them finds that, with the key.
-fn value(wire: Option<WireValue>) -> Bytes {
+/// Decodes the bytes of a value. A value that is not base64 becomes empty; the decoder of the item then
+/// reports it with its key.
+fn decode_value(wire: Option<WireValue>) -> Bytes {
     match wire {
         Some(WireValue::Text(text)) => STANDARD.decode(text).map(Bytes::from).unwrap_or_default(),
         Some(WireValue::Other(_)) | None => Bytes::new(),
     }
 }
 
-fn item(wire: WireItem) -> KeyItem {
-    KeyItem { key: wire.key, value: value(wire.value), revision: wire.revision }
+fn key_item(wire: WireItem) -> KeyItem {
+    KeyItem { key: wire.key, value: decode_value(wire.value), revision: wire.revision }
 }
 
-fn event(wire: WireItem) -> KeyEvent {
+fn key_event(wire: WireItem) -> KeyEvent {
     match wire.deleted {
         true => KeyEvent::Removed(wire.key),
-        false => KeyEvent::Written(item(wire)),
+        false => KeyEvent::Written(key_item(wire)),
     }
 }
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -1,4 +1,4 @@
-//! What the adapter makes of values that another writer has left in the store.
+//! Tests of how the adapter decodes values that another writer has stored.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 use crate::platform::registrations::{RegistrationError, decode_registration, worker_of_key};
 use crate::platform::store::{WirePage, escape_query};
 
-/// A registration with every field.
-fn whole() -> Value {
+/// A registration with every required field.
+fn complete_registration() -> Value {
     json!({
         "service": "svc", "address": "10.0.0.9:8080", "zone": "a", "version": "v1", "slots": 8,
         "state": "ready", "cold_ms": 0, "sequence": 4, "labels": ["k", "r1-3"],
@@ -20,16 +20,16 @@
     })
 }
 
-/// A whole registration with one field replaced.
-fn with(field: &str, value: Value) -> Bytes {
-    let mut registration = whole();
+/// A complete registration with one field replaced or added.
+fn with_field(field: &str, value: Value) -> Bytes {
+    let mut registration = complete_registration();
     registration[field] = value;
     Bytes::from(serde_json::to_vec(&registration).unwrap())
 }
 
-/// A whole registration with one field left out.
-fn without(field: &str) -> Bytes {
-    let mut registration = whole();
+/// A complete registration with one field left out.
+fn without_field(field: &str) -> Bytes {
+    let mut registration = complete_registration();
     registration.as_object_mut().unwrap().remove(field);
     Bytes::from(serde_json::to_vec(&registration).unwrap())
 }
@@ -39,41 +39,55 @@
 }
 
 #[gtest]
-fn a_whole_registration_names_a_worker() {
-    for value in
-        [with("state", json!("ready")), with("machine", json!("m1")), with("new", json!(1))]
-    {
+fn a_complete_registration_is_accepted() {
+    for value in [
+        with_field("state", json!("ready")),
+        with_field("machine", json!("m1")),
+        with_field("new", json!(1)),
+    ] {
         let registration = decode("servers/w1", value).unwrap();
         expect_that!(&*registration.id, eq("w1"));
         expect_that!(&*registration.domain, eq("a"));
         expect_that!(&*registration.rack, eq("r1-3"));
         expect_that!(registration.leaving, none());
     }
-    let registration = decode("servers/w1", with("born", json!(1_792_000_000_000_u64))).unwrap();
+    let registration =
+        decode("servers/w1", with_field("born", json!(1_792_000_000_000_u64))).unwrap();
     expect_that!(registration.instance_start, some(eq(1_792_000_000_000)));
-    let leaving = decode("servers/w1", with("state", json!("draining"))).unwrap();
-    expect_that!(leaving.leaving, some(anything()));
-    let late = json!({"state": "draining", "remaining_ms": -3.5, "cold_ms": -0.5});
-    let mut registration = whole();
-    registration.as_object_mut().unwrap().extend(late.as_object().unwrap().clone());
-    let late = decode("servers/w1", Bytes::from(registration.to_string())).unwrap();
-    expect_that!(late.leaving, some(eq(Duration::ZERO)));
+    let draining = decode("servers/w1", with_field("state", json!("draining"))).unwrap();
+    expect_that!(draining.leaving, some(anything()));
+    let overdue = json!({"state": "draining", "remaining_ms": -3.5, "cold_ms": -0.5});
+    let mut registration = complete_registration();
+    registration.as_object_mut().unwrap().extend(overdue.as_object().unwrap().clone());
+    let overdue = decode("servers/w1", Bytes::from(registration.to_string())).unwrap();
+    expect_that!(overdue.leaving, some(eq(Duration::ZERO)));
 }
 
-/// A registration in a state that nothing names was taken for a usable one, and so was one without a
-/// domain, a capacity or a version: another writer's entry was called and given work. Whatever is not
-/// whole names no worker.
+/// Guards against calling and placing tasks on what is not a worker: registrations of another writer, with
+/// an unknown state or without a domain, capacity or version, were accepted.
 #[gtest]
-fn a_registration_that_is_not_whole_names_no_worker() {
+fn an_incomplete_or_invalid_registration_is_rejected() {
     let fields = [
         "service", "address", "zone", "version", "slots", "state", "cold_ms", "sequence", "labels",
         "capacity",
     ];
     for field in fields {
-        expect_that!(decode("servers/w1", without(field)), err(anything()), "without {field}");
-        expect_that!(decode("servers/w1", with(field, json!(null))), err(anything()), "{field}");
-        let wrong = json!([[true]]);
-        expect_that!(decode("servers/w1", with(field, wrong)), err(anything()), "{field}");
+        expect_that!(
+            decode("servers/w1", without_field(field)),
+            err(anything()),
+            "without {field}"
+        );
+        expect_that!(
+            decode("servers/w1", with_field(field, json!(null))),
+            err(anything()),
+            "{field}"
+        );
+        let wrong_type = json!([[true]]);
+        expect_that!(
+            decode("servers/w1", with_field(field, wrong_type)),
+            err(anything()),
+            "{field}"
+        );
     }
     let values = [
         ("service", json!("")),
@@ -102,7 +116,7 @@
         ("capacity", json!({"millicpu": u64::MAX, "mem_mb": 16_000, "gpus": 0})),
     ];
     for (field, value) in values {
-        let result = decode("servers/w1", with(field, value.clone()));
+        let result = decode("servers/w1", with_field(field, value.clone()));
         expect_that!(result, err(anything()), "{field}: {value}");
     }
     for value in ["", "{", "[]", "null", "7", "\"ready\"", "{}", "not json"] {
@@ -112,23 +126,23 @@
     expect_that!(decode("servers/w1", not_utf8), err(anything()));
 }
 
-/// An id goes into the head of each call to its worker. One that cannot stand there was polled in vain
-/// for as long as its entry stood.
+/// Guards against polls that always fail: the id is sent in a header of each call to the worker, and an id
+/// that is not valid there was accepted.
 #[gtest]
-fn a_strange_key_names_no_worker() {
+fn a_key_without_a_valid_worker_id_is_rejected() {
     for id in ["", "a/b", "/", "a b", "a\nb", "a\u{7f}", "ü", "\u{0}"] {
         let key = format!("servers/{id}");
         expect_that!(worker_of_key(&key), none(), "{id:?}");
-        expect_that!(decode(&key, with("state", json!("ready"))), err(anything()), "{id:?}");
+        expect_that!(decode(&key, with_field("state", json!("ready"))), err(anything()), "{id:?}");
     }
     expect_that!(worker_of_key("op/config"), none());
     expect_that!(worker_of_key("servers/i-7f3a91c2").as_deref(), some(eq("i-7f3a91c2")));
 }
 
-/// One value that was not base64, or one item of another shape, made the whole page unreadable: no
-/// worker was listed, and a leader could not read its jobs.
+/// Guards against losing a whole page: one value that was not base64, or one item of another shape, made the
+/// page unreadable, so that no worker was registered and a leader could not read its jobs.
 #[gtest]
-fn an_unreadable_item_does_not_stop_its_page() {
+fn an_unreadable_item_does_not_make_its_page_unreadable() {
     let items = json!([
         {"key": "servers/a", "value": "YQ==", "revision": 3, "lease": 0},
         {"key": "servers/b", "value": "!", "revision": 4},
@@ -155,10 +169,10 @@
     expect_that!(page.revision, eq(9));
 }
 
-/// The next page begins after a key. Where that key had a sign with a meaning in a query, the same page
-/// was read again and again, or none.
+/// Guards against a listing that cannot continue: the next page begins after a key, and with a reserved
+/// character in that key the same page was read repeatedly, or none.
 #[gtest]
-fn a_strange_key_in_a_query_is_escaped() {
+fn reserved_characters_of_a_key_are_escaped_in_a_query() {
     expect_that!(escape_query("servers/i-7f3a91c2"), eq("servers/i-7f3a91c2"));
     expect_that!(escape_query("m/entry/front-a.1_2~3"), eq("m/entry/front-a.1_2~3"));
     expect_that!(escape_query("a b&c=%#+?ü"), eq("a%20b%26c%3D%25%23%2B%3F%C3%BC"));
--- a/src/platform/workers.rs
+++ b/src/platform/workers.rs
@@ -1,4 +1,4 @@
-//! Calls to workers.
+//! Client of the workers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,10 +21,10 @@
 const STOP_PATH: &str = "/api/run-stop";
 const POLL_PATH: &str = "/api/hold";
 const THROTTLE_PATH: &str = "/api/pace";
-/// Names the life of the worker that a call is meant for; any other answers 421.
+/// Header with the worker instance that a call is meant for. Any other instance answers 421.
 const INSTANCE_HEADER: &str = "Target-Instance";
 
-/// Added to the time of an answer before a poll counts as lost: its answer lists all that runs.
+/// Added to the timeout of a poll, because its answer lists all runs of the worker.
 const POLL_SLACK: Duration = Duration::from_millis(100);
 
 #[derive(Debug)]
@@ -82,7 +82,7 @@
 #[derive(Deserialize)]
 struct WireRunning(String, RunNumber, String, f64, #[serde(default)] f64);
 
-/// Number, task, run, how it ended, last checkpoint.
+/// Number of the end, task, run, kind of end, last checkpoint.
 #[derive(Debug)]
 #[derive(Deserialize)]
 struct WireEnded(u64, String, RunNumber, String, #[serde(default)] String);
@@ -91,7 +91,7 @@
 #[derive(Deserialize)]
 struct WirePollAnswer {
     clock_ms: u64,
-    /// Start of this life of the worker.
+    /// Start time of this instance of the worker.
     #[serde(default, deserialize_with = "decode_instance_start")]
     born: InstanceStart,
     #[serde(default)]
@@ -100,16 +100,16 @@
     finished: Vec<WireEnded>,
 }
 
-/// What all calls to workers have in common.
+/// Parameters that all calls to workers share.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CallContext {
-    /// Epoch of the leader that calls.
+    /// Epoch of the calling leader.
     pub(crate) epoch: LeaderEpoch,
-    /// Longest time for an answer.
+    /// Timeout of a call.
     pub(crate) time: Duration,
 }
 
-/// A client of all workers.
+/// A client that calls any worker.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkerClient {
     client: HttpClient,
@@ -120,37 +120,41 @@
         Self { client: HttpClient::new() }
     }
 
-    /// Starts a run; a run that is there already is no error.
-    pub(crate) async fn start(&self, terms: CallContext, order: &StartCommand) -> CommandResult {
+    /// Starts a run. It is not an error if the run exists already.
+    pub(crate) async fn start(
+        &self,
+        context: CallContext,
+        command: &StartCommand,
+    ) -> CommandResult {
         let body = WireStart {
-            task: order.task.to_string(),
-            run: order.run,
-            spec: &order.payload,
-            until_ms: millis(order.until),
-            fencing_token: terms.epoch,
-            checkpoint: &order.checkpoint,
-            ticket: order.ticket.as_deref(),
+            task: command.task.to_string(),
+            run: command.run,
+            spec: &command.payload,
+            until_ms: millis(command.until),
+            fencing_token: context.epoch,
+            checkpoint: &command.checkpoint,
+            ticket: command.ticket.as_deref(),
         };
-        self.command(&order.worker, order.address, START_PATH, &body, terms.time).await
+        self.command(&command.worker, command.address, START_PATH, &body, context.time).await
     }
 
-    /// Stops a run; one that has not begun will be refused from then on.
+    /// Stops a run. A run that has not started will be refused from then on.
     pub(crate) async fn stop(
         &self,
-        terms: CallContext,
+        context: CallContext,
         worker: &WorkerId,
         address: SocketAddr,
         task: &TaskName,
         run: RunNumber,
     ) -> CommandResult {
-        let body = WireStop { task: task.to_string(), run, fencing_token: terms.epoch };
-        self.command(worker, address, STOP_PATH, &body, terms.time).await
+        let body = WireStop { task: task.to_string(), run, fencing_token: context.epoch };
+        self.command(worker, address, STOP_PATH, &body, context.time).await
     }
 
-    /// Lets a run work at a share of its speed.
+    /// Limits a run to a percentage of its full speed.
     pub(crate) async fn throttle(
         &self,
-        terms: CallContext,
+        context: CallContext,
         worker: &WorkerId,
         address: SocketAddr,
         task: &TaskName,
@@ -158,14 +162,14 @@
         percent: u32,
     ) -> CommandResult {
         let body =
-            WireThrottle { task: task.to_string(), run, percent, fencing_token: terms.epoch };
-        self.command(worker, address, THROTTLE_PATH, &body, terms.time).await
+            WireThrottle { task: task.to_string(), run, percent, fencing_token: context.epoch };
+        self.command(worker, address, THROTTLE_PATH, &body, context.time).await
     }
 
-    /// Looks at a worker, renews its lease and acknowledges ends.
+    /// Polls a worker: lists its runs and ends, renews its lease and acknowledges ends.
     pub(crate) async fn poll(
         &self,
-        terms: CallContext,
+        context: CallContext,
         worker: &WorkerId,
         address: SocketAddr,
         until: Option<Duration>,
@@ -174,15 +178,15 @@
     ) -> PollResult {
         let body = WirePoll {
             until_ms: until.map(millis),
-            fencing_token: terms.epoch,
+            fencing_token: context.epoch,
             ack_cursor: acked,
             wait_ms: (!wait.is_zero()).then(|| millis(wait)),
         };
         let response =
-            self.call(worker, address, POLL_PATH, &body, wait + terms.time + POLL_SLACK).await?;
-        let answer: WirePollAnswer = read_json(&response).map_err(failed)?;
-        let ended = answer.finished.into_iter().filter_map(ended).collect();
-        let running = answer.running.into_iter().filter_map(running).collect();
+            self.call(worker, address, POLL_PATH, &body, wait + context.time + POLL_SLACK).await?;
+        let answer: WirePollAnswer = read_json(&response).map_err(call_failure)?;
+        let ended = answer.finished.into_iter().filter_map(end_report).collect();
+        let running = answer.running.into_iter().filter_map(run_report).collect();
         let clock = Duration::from_millis(answer.clock_ms);
         Ok(PollReply { instance_start: answer.born, clock, running, ended })
     }
@@ -193,10 +197,10 @@
         address: SocketAddr,
         path: &str,
         body: &B,
-        time: Duration,
+        timeout: Duration,
     ) -> CommandResult {
-        let response = self.call(worker, address, path, body, time).await?;
-        let answer: WireAnswer = read_json(&response).map_err(failed)?;
+        let response = self.call(worker, address, path, body, timeout).await?;
+        let answer: WireAnswer = read_json(&response).map_err(call_failure)?;
         Ok(Duration::from_millis(answer.clock_ms))
     }
 
@@ -206,7 +210,7 @@
         address: SocketAddr,
         path: &str,
         body: &B,
-        time: Duration,
+        timeout: Duration,
     ) -> std::result::Result<Response<Bytes>, CallFailure> {
         let headers = [(INSTANCE_HEADER, &**worker)];
         let call = JsonCall {
@@ -215,17 +219,17 @@
             address,
             path,
             headers: &headers,
-            time,
+            timeout,
         };
-        let response = send_json(&self.client, call, Some(body)).await.map_err(failed)?;
+        let response = send_json(&self.client, call, Some(body)).await.map_err(call_failure)?;
         match response.status() {
             StatusCode::OK => Ok(response),
-            status => Err(CallFailure::Refused(refusal(status, &response))),
+            status => Err(CallFailure::Refused(worker_refusal(status, &response))),
         }
     }
 }
 
-fn refusal(status: StatusCode, response: &Response<Bytes>) -> WorkerRefusal {
+fn worker_refusal(status: StatusCode, response: &Response<Bytes>) -> WorkerRefusal {
     let reason = read_json::<WireAnswer>(response).map(|answer| answer.reason);
     match (status, reason.as_deref().unwrap_or_default()) {
         (StatusCode::CONFLICT, "fence") => WorkerRefusal::Deposed,
@@ -241,7 +245,7 @@
     }
 }
 
-fn failed(error: ClientError) -> CallFailure {
+fn call_failure(error: ClientError) -> CallFailure {
     match error {
         ClientError::NotSent(_) => CallFailure::NotSent,
         ClientError::Refused(_) => CallFailure::NothingThere,
@@ -249,9 +253,9 @@
     }
 }
 
-fn running(wire: WireRunning) -> Option<RunReport> {
+fn run_report(wire: WireRunning) -> Option<RunReport> {
     let WireRunning(task, run, checkpoint, percent, reported_load) = wire;
-    let task = named(&task)?;
+    let task = parse_task_name(&task)?;
     Some(RunReport {
         task,
         run,
@@ -261,7 +265,7 @@
     })
 }
 
-fn ended(wire: WireEnded) -> Option<EndReport> {
+fn end_report(wire: WireEnded) -> Option<EndReport> {
     let WireEnded(number, task, run, how, checkpoint) = wire;
     let kind = match how.as_str() {
         "done" => EndKind::Done,
@@ -271,17 +275,17 @@
         "broken" => EndKind::Broken,
         "alone" => EndKind::Alone,
         _ => {
-            warn!(task = task, how = how; "a worker lists an end of an unknown kind");
+            warn!(task = task, how = how; "a worker reports an end of an unknown kind");
             return None;
         }
     };
-    Some(EndReport { number, task: named(&task)?, run, kind, checkpoint })
+    Some(EndReport { number, task: parse_task_name(&task)?, run, kind, checkpoint })
 }
 
-fn named(text: &str) -> Option<TaskName> {
+fn parse_task_name(text: &str) -> Option<TaskName> {
     let name = text.parse();
     if name.is_err() {
-        warn!(task = text; "a worker lists a task whose name cannot be read");
+        warn!(task = text; "a worker reports a task with an invalid name");
     }
     name.ok()
 }
--- a/src/standin.rs
+++ b/src/standin.rs
@@ -1,6 +1,6 @@
-//! Small stand-ins of the platform and its VMs, for the README, the demo and tests.
+//! Small stand-ins for the platform and its VMs, for the README, the demo and tests.
 //!
-//! The models hold state only and are used by tests directly; the servers put them behind HTTP.
+//! The models hold state only, and tests use them directly. The server makes them available over HTTP.
 
 mod ports;
 mod server;
--- a/src/standin/server.rs
+++ b/src/standin/server.rs
@@ -1,4 +1,4 @@
-//! The stand-ins behind HTTP, on one thread.
+//! An HTTP server for all stand-ins, on one thread.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -34,17 +34,17 @@
 use crate::standin::worker::WorkerModel;
 use crate::store::{StoreOutcome, StoreRequest};
 
-/// Interval at which time passes for workers.
+/// Interval between updates of the workers.
 const TICK: Duration = Duration::from_millis(20);
-/// Slots of an upstream that is a task of a service.
+/// Number of slots of an upstream that is a task of a service.
 const SERVICE_TASK_SLOTS: u32 = 8;
 
-/// All that is played.
+/// State of all stand-ins.
 #[derive(Debug, Default)]
 pub struct StandInState {
     /// The store.
     pub store: StoreModel,
-    /// Waiting watches, for the count of calls.
+    /// Number of watches received so far.
     pub watches: u64,
     /// The list of VMs.
     pub vms: Vec<VmRecord>,
@@ -54,7 +54,7 @@
     pub upstreams: BTreeMap<String, UpstreamModel>,
 }
 
-/// What a listener plays.
+/// What a listener stands in for.
 #[derive(Clone, Debug)]
 enum StandInRole {
     Store,
@@ -88,10 +88,10 @@
 }
 
 impl StandInServer {
-    /// Binds all addresses and starts playing.
+    /// Binds all addresses and starts the server.
     ///
     /// # Errors
-    /// Where an address cannot be bound.
+    /// Returns an error if an address cannot be bound.
     pub fn start(settings: &StandInSettings) -> Result<Self> {
         let mut listeners = vec![
             (bind(settings.store).context("store")?, StandInRole::Store),
@@ -106,27 +106,27 @@
         }
         let state = Arc::new(Mutex::new(StandInState::default()));
         let (stop, stopped) = watch::channel(false);
-        let (machines, played) = (settings.machines.clone(), state.clone());
+        let (machines, shared_state) = (settings.machines.clone(), state.clone());
         let thread = Builder::new().name("stand-in".to_owned()).spawn(move || {
             let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
-            runtime.block_on(play(listeners, machines, played, stopped))?;
+            runtime.block_on(serve_all(listeners, machines, shared_state, stopped))?;
             runtime.shutdown_background();
             Ok(())
         })?;
         Ok(Self { state, stop, thread: Some(thread) })
     }
 
-    /// Looks at or changes what is played.
-    pub fn with<T>(&self, look: impl FnOnce(&mut StandInState) -> T) -> T {
-        look(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
+    /// Reads or changes the state of the stand-ins.
+    pub fn with<T>(&self, access: impl FnOnce(&mut StandInState) -> T) -> T {
+        access(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Tells whether the thread has ended.
+    /// Returns whether the server's thread has ended.
     pub fn ended(&self) -> bool {
         self.thread.as_ref().is_none_or(JoinHandle::is_finished)
     }
 
-    /// Ends playing.
+    /// Stops the server and waits for its thread to end.
     pub fn stop(mut self) {
         let _ = self.stop.send(true);
         if let Some(thread) = self.thread.take() {
@@ -135,7 +135,7 @@
     }
 }
 
-async fn play(
+async fn serve_all(
     listeners: Vec<(std::net::TcpListener, StandInRole)>,
     machines: Vec<VmRecord>,
     state: Arc<Mutex<StandInState>>,
@@ -176,22 +176,22 @@
     tokio::spawn(serve_http(listener, limits, routes(), prepare, stop));
 }
 
-/// Time passes for workers; tasks of services begin to answer.
+/// Updates all workers to the current time and opens endpoints for tasks of services.
 async fn tick(
     state: &Arc<Mutex<StandInState>>,
     changed: &watch::Sender<u64>,
     stop: &watch::Receiver<bool>,
 ) -> io::Result<()> {
-    let wanted: Vec<(String, crate::id::TaskId)> = {
+    let tasks: Vec<(String, crate::id::TaskId)> = {
         let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
         let workers = state.workers.iter_mut();
-        let each = workers.flat_map(|(name, worker)| {
+        let tasks = workers.flat_map(|(name, worker)| {
             worker.tick(Instant::now());
-            worker.without_endpoint().into_iter().map(|task| (name.clone(), task))
+            worker.tasks_without_endpoint().into_iter().map(|task| (name.clone(), task))
         });
-        each.collect()
+        tasks.collect()
     };
-    for (worker, task) in wanted {
+    for (worker, task) in tasks {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let address = listener.local_addr()?.to_string();
         let name = format!("{}#{}@{worker}", task.0, task.1);
@@ -289,7 +289,7 @@
     }
 }
 
-/// Body is `none`, `down` or `lost-answers`.
+/// Sets the store's fault. The body is `none`, `down` or `lost-answers`.
 fn set_fault(context: &StandInContext, bytes: &[u8]) -> Response<Body> {
     let fault = match bytes {
         b"none" => StoreFault::None,
@@ -307,14 +307,14 @@
     let wait = Duration::from_millis(query(uri, "wait_ms").unwrap_or(0));
     let mut changed = context.changed.subscribe();
     context.lock().watches += 1;
-    let newer = async {
+    let newer_value = async {
         loop {
             {
                 let state = context.lock();
                 if state.store.fault() != StoreFault::None {
                     return empty(StatusCode::SERVICE_UNAVAILABLE);
                 }
-                if let Some(stored) = state.store.get(key).filter(|s| s.version > after) {
+                if let Some(stored) = state.store.get(key).filter(|stored| stored.version > after) {
                     return json_response(StatusCode::OK, stored);
                 }
             }
@@ -323,10 +323,10 @@
             }
         }
     };
-    timeout(wait, newer).await.unwrap_or(empty(StatusCode::NO_CONTENT))
+    timeout(wait, newer_value).await.unwrap_or(empty(StatusCode::NO_CONTENT))
 }
 
-/// The list; a PUT replaces it.
+/// Returns the list of VMs, or replaces it on PUT.
 fn vms(
     context: &StandInContext,
     method: &Method,
@@ -345,7 +345,7 @@
     let mut response = json_response(StatusCode::OK, &context.lock().vms);
     let text = serde_json::to_vec(&context.lock().vms).unwrap_or_default();
     let tag = format!("\"{}\"", blake3::hash(&text).to_hex());
-    if headers.get(IF_NONE_MATCH).is_some_and(|known| known.as_bytes() == tag.as_bytes()) {
+    if headers.get(IF_NONE_MATCH).is_some_and(|value| value.as_bytes() == tag.as_bytes()) {
         return empty(StatusCode::NOT_MODIFIED);
     }
     if let Ok(tag) = HeaderValue::from_str(&tag) {
@@ -365,7 +365,7 @@
     }
 }
 
-/// Ends a request when its connection closes before the answer.
+/// A request in progress. Ends it at the upstream also when its connection closes before the answer.
 struct OpenRequest {
     context: StandInContext,
     name: String,
@@ -380,7 +380,8 @@
     }
 }
 
-/// Works for `work_ms` and echoes what tells the request; `x-mark` names it across attempts.
+/// Answers after `work_ms` with the request's path and mark. The header `x-mark` identifies a request across
+/// attempts.
 async fn upstream(
     context: &StandInContext,
     name: &str,
@@ -393,7 +394,7 @@
         upstream.begin(mark);
     }
     let (context, name) = (context.clone(), name.to_owned());
-    let mut open = OpenRequest { context, name: name.clone(), answered: false };
+    let mut open_request = OpenRequest { context, name: name.clone(), answered: false };
     sleep(Duration::from_millis(query(uri, "work_ms").unwrap_or(1))).await;
     let service: ServiceId = name.as_str().into();
     let body = serde_json::json!({
@@ -408,6 +409,6 @@
             response.headers_mut().insert(header, value.clone());
         }
     }
-    open.answered = true;
+    open_request.answered = true;
     response
 }
--- a/src/standin/settings.rs
+++ b/src/standin/settings.rs
@@ -9,30 +9,30 @@
 
 type Result<T> = std::result::Result<T, DiagnosticList>;
 
-/// A VM that is played.
+/// A VM that a stand-in replaces.
 pub type StandInVm = VmRecord;
 
-/// What is played.
+/// Settings of all stand-ins.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StandInSettings {
-    /// Where the store answers.
+    /// Address of the store.
     pub store: SocketAddr,
-    /// Where the list of VMs is.
+    /// Address of the list of VMs.
     pub vms: SocketAddr,
     /// Workers and upstreams.
     pub machines: Vec<StandInVm>,
 }
 
 impl StandInSettings {
-    /// Parses and checks settings; every mistake is found before any is reported.
+    /// Parses and checks settings.
     ///
     /// # Errors
-    /// All findings, in order of place.
+    /// Returns all diagnostics, in order of position.
     pub fn parse(source: &str, text: &str) -> Result<Self> {
         let (table, mut sink) = DiagnosticSink::parse(source, text);
         let mut reader = TableReader::new(&table);
-        let store = reader.parsed("store", ADDRESS, &mut sink);
-        let vms = reader.parsed("vms", ADDRESS, &mut sink);
+        let store = reader.parsed("store", ADDRESS_FORMAT, &mut sink);
+        let vms = reader.parsed("vms", ADDRESS_FORMAT, &mut sink);
         let mut machines: Vec<Option<VmRecord>> = Vec::new();
         for mut worker in reader.tables("worker", &mut sink) {
             machines.push(read_worker(&mut worker, &mut sink));
@@ -52,7 +52,7 @@
     }
 }
 
-const ADDRESS: &str = "an address like \"127.0.0.1:7001\"";
+const ADDRESS_FORMAT: &str = "an address like \"127.0.0.1:7001\"";
 
 fn read_vm(
     reader: &mut TableReader<'_, '_>,
@@ -62,7 +62,7 @@
     let id = reader.string("name", sink);
     let domain = reader.string("failure_domain", sink);
     let rack = reader.string("rack", sink);
-    let address = reader.parsed("address", ADDRESS, sink);
+    let address = reader.parsed("address", ADDRESS_FORMAT, sink);
     Some(VmRecord {
         id: id?,
         domain: domain?.into(),
@@ -77,10 +77,10 @@
     reader: &mut TableReader<'_, '_>,
     sink: &mut DiagnosticSink<'_>,
 ) -> Option<VmRecord> {
-    let most = u64::from(u32::MAX);
-    let millicores = reader.integer("processors_milli", 1..=most, None, sink);
-    let memory = reader.integer("memory_mib", 1..=most, None, sink);
-    let accelerators = reader.integer("accelerators", 0..=most, Some(0), sink);
+    let max = u64::from(u32::MAX);
+    let millicores = reader.integer("processors_milli", 1..=max, None, sink);
+    let memory = reader.integer("memory_mib", 1..=max, None, sink);
+    let accelerators = reader.integer("accelerators", 0..=max, Some(0), sink);
     let capacity = (|| {
         Some(ResourceVector::new(
             u32::try_from(millicores?).ok()?,
--- a/src/standin/store.rs
+++ b/src/standin/store.rs
@@ -5,22 +5,22 @@
 use crate::id::KeyVersion;
 use crate::store::{StoreOutcome, StoreRequest, StoredValue};
 
-/// Largest value that the store takes, in bytes.
-const VALUE_BYTES: usize = 1 << 20;
+/// Largest value that the store accepts, in bytes.
+const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// How the store fails.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum StoreFault {
-    /// It does not.
+    /// It works.
     #[default]
     None,
-    /// It takes no call.
+    /// It refuses all calls.
     Down,
-    /// It carries writes out and does not answer them.
+    /// It carries out writes but does not answer them.
     LostAnswers,
 }
 
-/// The store.
+/// A key-value store with compare-and-swap.
 #[derive(Clone, Debug, Default)]
 pub struct StoreModel {
     keys: BTreeMap<String, StoredValue>,
@@ -31,22 +31,22 @@
 }
 
 impl StoreModel {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Makes it fail, or not any more.
+    /// Sets how the store fails.
     pub fn set_fault(&mut self, fault: StoreFault) {
         self.fault = fault;
     }
 
-    /// How it fails.
+    /// How the store fails.
     pub fn fault(&self) -> StoreFault {
         self.fault
     }
 
-    /// Reads and writes taken so far.
+    /// Number of reads and of writes so far.
     pub fn calls(&self) -> (u64, u64) {
         (self.reads, self.writes)
     }
@@ -56,24 +56,24 @@
         self.keys.values().map(|stored| stored.value.len()).max().unwrap_or(0)
     }
 
-    /// A key.
+    /// The stored value of a key.
     pub fn get(&self, key: &str) -> Option<&StoredValue> {
         self.keys.get(key)
     }
 
-    /// Takes a call.
+    /// Handles a call.
     pub fn call(&mut self, request: &StoreRequest) -> StoreOutcome {
         if self.fault == StoreFault::Down {
             return StoreOutcome::Unavailable;
         }
-        let outcome = self.carry_out(request);
+        let outcome = self.apply(request);
         match (self.fault, request) {
             (StoreFault::LostAnswers, StoreRequest::Swap { .. }) => StoreOutcome::Unknown,
             _ => outcome,
         }
     }
 
-    fn carry_out(&mut self, request: &StoreRequest) -> StoreOutcome {
+    fn apply(&mut self, request: &StoreRequest) -> StoreOutcome {
         match request {
             StoreRequest::Read { key } => {
                 self.reads += 1;
@@ -84,11 +84,11 @@
             }
             StoreRequest::Swap { key, expected, value } => {
                 self.writes += 1;
-                let found = self.keys.get(key).map_or(0, |stored| stored.version);
-                if found != *expected {
+                let current_version = self.keys.get(key).map_or(0, |stored| stored.version);
+                if current_version != *expected {
                     return StoreOutcome::Conflict;
                 }
-                if value.len() > VALUE_BYTES {
+                if value.len() > MAX_VALUE_BYTES {
                     return StoreOutcome::Unavailable;
                 }
                 self.version += 1;
--- a/src/standin/upstream.rs
+++ b/src/standin/upstream.rs
@@ -1,17 +1,17 @@
-//! An upstream that counts what it is sent.
+//! An upstream that counts its requests.
 
 use std::collections::BTreeMap;
 
-/// What an upstream has counted.
+/// Counters of an upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct UpstreamCount {
-    /// Requests that it began.
+    /// Requests begun.
     pub begun: u64,
-    /// Requests that it answered.
+    /// Requests answered.
     pub answered: u64,
-    /// Most requests at a time.
+    /// Largest number of requests at a time.
     pub most_at_once: u32,
-    /// Requests that found all slots in use.
+    /// Requests begun while all slots were in use.
     pub over_slots: u64,
 }
 
@@ -21,17 +21,17 @@
     slots: u32,
     in_use: u32,
     count: UpstreamCount,
-    /// How often each marked request was begun.
+    /// Number of times each marked request was begun.
     marks: BTreeMap<String, u32>,
 }
 
 impl UpstreamModel {
-    /// An idle upstream.
+    /// Creates an idle upstream.
     pub fn new(slots: u32) -> Self {
         Self { slots, ..Self::default() }
     }
 
-    /// A request begins; `mark` names it across attempts.
+    /// Records the start of a request. `mark` identifies it across attempts.
     pub fn begin(&mut self, mark: Option<&str>) {
         self.in_use += 1;
         self.count.begun += 1;
@@ -44,18 +44,18 @@
         }
     }
 
-    /// A request ended, answered or not.
+    /// Records the end of a request, answered or not.
     pub fn end(&mut self, answered: bool) {
         self.in_use -= 1;
         self.count.answered += u64::from(answered);
     }
 
-    /// What was counted.
+    /// The counters.
     pub fn count(&self) -> UpstreamCount {
         self.count
     }
 
-    /// How often each marked request was begun.
+    /// Number of times each marked request was begun.
     pub fn marks(&self) -> &BTreeMap<String, u32> {
         &self.marks
     }
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -1,4 +1,4 @@
-//! A worker that pretends to run tasks.
+//! A worker that simulates running tasks.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
     TaskOutcome, TaskReport, TaskUsage, WorkerCommand, WorkerReply, WorkerRequest,
 };
 
-/// How long a task runs whose command does not say.
+/// Run time of a task whose command does not set one.
 const DEFAULT_RUN_TIME: Duration = Duration::from_millis(100);
 
 /// One run of a task, for checks that no task ran in two places.
@@ -24,7 +24,7 @@
     pub task: TaskId,
     /// When it started.
     pub started: Instant,
-    /// When it ended; `None` while it runs.
+    /// When it ended, or `None` while it runs.
     pub ended: Option<Instant>,
 }
 
@@ -34,38 +34,40 @@
     need: ResourceVector,
     cut_off: CutOffRule,
     started: Instant,
-    /// When it ends by itself.
-    ends: Option<Instant>,
-    /// How it will end by itself.
-    verdict: TaskOutcome,
-    lease: Instant,
+    /// When the task ends by itself. `None` for a task of a service.
+    ends_at: Option<Instant>,
+    /// Outcome when the task ends by itself.
+    planned_outcome: TaskOutcome,
+    lease_end: Instant,
     outcome: Option<TaskOutcome>,
-    ran: Duration,
+    run_time: Duration,
     endpoint: Option<String>,
-    run: Option<usize>,
+    /// Index of the run in the worker's list of runs.
+    run_index: Option<usize>,
 }
 
-/// The worker. It keeps the contract in `docs/INTERFACES.md`.
+/// A worker that follows the contract in `docs/INTERFACES.md`.
 #[derive(Clone, Debug)]
 pub struct WorkerModel {
     capacity: ResourceVector,
+    /// Number of the current boot.
     boot: u64,
-    booted: Instant,
-    highest: Option<FencingToken>,
+    booted_at: Instant,
+    highest_token: Option<FencingToken>,
     tasks: BTreeMap<TaskId, WorkerTask>,
     runs: Vec<TaskRun>,
-    /// Whether every task fails at once.
+    /// Whether every task fails as soon as it starts.
     fails_everything: bool,
 }
 
 impl WorkerModel {
-    /// A worker without tasks.
+    /// Creates a worker without tasks.
     pub fn new(now: Instant, capacity: ResourceVector) -> Self {
         Self {
             capacity,
             boot: 1,
-            booted: now,
-            highest: None,
+            booted_at: now,
+            highest_token: None,
             tasks: BTreeMap::new(),
             runs: Vec::new(),
             fails_everything: false,
@@ -77,48 +79,48 @@
         &self.runs
     }
 
-    /// Room in use.
+    /// Capacity in use.
     pub fn used(&self) -> ResourceVector {
         let running = self.tasks.values().filter(|task| task.outcome.is_none());
         running.fold(ResourceVector::default(), |sum, task| sum.saturating_add(&task.need))
     }
 
-    /// Tasks that run, with their reservations.
+    /// Running tasks with their reservations.
     pub fn running_needs(&self) -> impl Iterator<Item = (&TaskId, ResourceVector)> {
         let running = self.tasks.iter().filter(|(_, task)| task.outcome.is_none());
         running.map(|(id, task)| (id, task.need))
     }
 
-    /// Number of tasks that run.
+    /// Number of running tasks.
     pub fn running(&self) -> usize {
         self.tasks.values().filter(|task| task.outcome.is_none()).count()
     }
 
-    /// Tasks of services that run and have no endpoint yet.
-    pub fn without_endpoint(&self) -> Vec<TaskId> {
+    /// Running tasks of services that have no endpoint yet.
+    pub fn tasks_without_endpoint(&self) -> Vec<TaskId> {
         let running = self.tasks.iter().filter(|(_, task)| task.outcome.is_none());
-        let wanted = running.filter(|(_, task)| task.endpoint.as_deref() == Some(""));
-        wanted.map(|(id, _)| id.clone()).collect()
+        let missing = running.filter(|(_, task)| task.endpoint.as_deref() == Some(""));
+        missing.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Sets where a task answers.
+    /// Sets the address of a task's endpoint.
     pub fn set_endpoint(&mut self, id: &TaskId, address: String) {
         if let Some(task) = self.tasks.get_mut(id) {
             task.endpoint = Some(address);
         }
     }
 
-    /// Tells whether a task runs.
+    /// Returns whether a task is running.
     pub fn runs_task(&self, id: &TaskId) -> bool {
         self.tasks.get(id).is_some_and(|task| task.outcome.is_none())
     }
 
-    /// Makes every task fail at once, or not any more.
+    /// Sets whether every task fails as soon as it starts.
     pub fn set_fails_everything(&mut self, fails: bool) {
         self.fails_everything = fails;
     }
 
-    /// Restarts the machine: all tasks are gone. The highest token is kept, as the contract asks.
+    /// Restarts the VM. All tasks are lost; the highest token is kept, as the contract requires.
     pub fn restart(&mut self, now: Instant) {
         let ids: Vec<TaskId> = self.tasks.keys().cloned().collect();
         for id in ids {
@@ -128,21 +130,21 @@
         self.boot += 1;
     }
 
-    /// Lets time pass: tasks end, leases lapse.
+    /// Updates the worker to the given time: ends tasks that are done and tasks whose lease has expired.
     pub fn tick(&mut self, now: Instant) {
         let ids: Vec<TaskId> = self.tasks.keys().cloned().collect();
         for id in ids {
             let Some(task) = self.tasks.get(&id).filter(|task| task.outcome.is_none()) else {
                 continue;
             };
-            match task.ends {
-                Some(ends) if ends <= now.min(task.lease) => {
-                    let verdict = task.verdict.clone();
-                    self.end(ends, &id, verdict);
+            match task.ends_at {
+                Some(ends_at) if ends_at <= now.min(task.lease_end) => {
+                    let planned_outcome = task.planned_outcome.clone();
+                    self.end(ends_at, &id, planned_outcome);
                 }
-                _ if task.lease <= now => {
-                    let lease = task.lease;
-                    self.end(lease, &id, TaskOutcome::Stopped);
+                _ if task.lease_end <= now => {
+                    let lease_end = task.lease_end;
+                    self.end(lease_end, &id, TaskOutcome::Stopped);
                 }
                 _ => {}
             }
@@ -154,33 +156,34 @@
             return;
         };
         task.outcome = Some(outcome);
-        task.ran = now.saturating_duration_since(task.started);
-        if let Some(run) = task.run.and_then(|run| self.runs.get_mut(run)) {
+        task.run_time = now.saturating_duration_since(task.started);
+        if let Some(run) = task.run_index.and_then(|index| self.runs.get_mut(index)) {
             run.ended = Some(now);
         }
     }
 
-    /// Takes an exchange.
+    /// Handles an exchange with the leader.
     pub fn handle(&mut self, now: Instant, request: &WorkerRequest) -> WorkerReply {
         self.tick(now);
-        let outranked = self.highest.as_ref().is_some_and(|highest| request.token < *highest);
-        let clock = now.saturating_duration_since(self.booted);
+        let is_superseded =
+            self.highest_token.as_ref().is_some_and(|highest_token| request.token < *highest_token);
+        let clock = now.saturating_duration_since(self.booted_at);
         let late = request.not_after.is_some_and(|bound| clock > bound);
-        let claim = request.not_after.is_none();
-        if !outranked {
-            self.highest = Some(request.token.clone());
+        let claim_only = request.not_after.is_none();
+        if !is_superseded {
+            self.highest_token = Some(request.token.clone());
         }
-        let other_start = request.boot.is_some_and(|boot| boot != self.boot);
-        let accepted = !outranked && !late && !other_start;
-        if accepted && !claim {
+        let other_boot = request.boot.is_some_and(|boot| boot != self.boot);
+        let accepted = !is_superseded && !late && !other_boot;
+        if accepted && !claim_only {
             self.renew(now, request);
             for command in &request.commands {
-                self.carry_out(now, request, command);
+                self.apply_command(now, request, command);
             }
         }
         WorkerReply {
             accepted,
-            highest: self.highest.clone().unwrap_or(request.token.clone()),
+            highest: self.highest_token.clone().unwrap_or(request.token.clone()),
             clock,
             boot: self.boot,
             tasks: self.tasks.iter().map(|(id, task)| report(id, task)).collect(),
@@ -190,34 +193,37 @@
     fn renew(&mut self, now: Instant, request: &WorkerRequest) {
         for task in self.tasks.values_mut() {
             if task.cut_off == CutOffRule::Stay || request.renew_movable {
-                task.lease = task.lease.max(now + request.lease);
+                task.lease_end = task.lease_end.max(now + request.lease);
             }
         }
     }
 
-    fn carry_out(&mut self, now: Instant, request: &WorkerRequest, command: &WorkerCommand) {
+    fn apply_command(&mut self, now: Instant, request: &WorkerRequest, command: &WorkerCommand) {
         match command {
             WorkerCommand::Start { task, attempt, need, command, cut_off, service } => {
-                let known = self.tasks.get(task);
-                if known.is_some_and(|known| known.attempt >= *attempt || known.outcome.is_none()) {
+                let current = self.tasks.get(task);
+                if current
+                    .is_some_and(|current| current.attempt >= *attempt || current.outcome.is_none())
+                {
                     return;
                 }
-                let lease = now + request.lease;
-                let mut started = start(now, *attempt, *need, command, *cut_off, *service, lease);
-                let room = self.capacity.saturating_sub(&self.used());
-                let fits = invariant::holds(need.fits(&room), "capacity", || {
-                    format!("worker is given {task:?} with {need:?}, room {room:?}")
+                let lease_end = now + request.lease;
+                let mut new_task =
+                    start(now, *attempt, *need, command, *cut_off, *service, lease_end);
+                let free = self.capacity.saturating_sub(&self.used());
+                let fits = invariant::holds(need.fits(&free), "capacity", || {
+                    format!("worker has to start {task:?} with {need:?}, free capacity {free:?}")
                 });
                 match fits {
                     true => {
-                        started.run = Some(self.runs.len());
+                        new_task.run_index = Some(self.runs.len());
                         self.runs.push(TaskRun { task: task.clone(), started: now, ended: None });
                     }
                     false => {
-                        started.outcome = Some(TaskOutcome::Refused("no room".to_owned()));
+                        new_task.outcome = Some(TaskOutcome::Refused("no room".to_owned()));
                     }
                 }
-                self.tasks.insert(task.clone(), started);
+                self.tasks.insert(task.clone(), new_task);
                 if self.fails_everything {
                     let reason = "exec format error".to_owned();
                     self.end(now, task, TaskOutcome::Failed(reason));
@@ -229,15 +235,15 @@
                     return;
                 }
                 let need = ResourceVector::default();
-                let mut never = start(now, *attempt, need, "", CutOffRule::Stay, false, now);
-                never.outcome = Some(TaskOutcome::Refused("stopped before it started".to_owned()));
-                self.tasks.insert(task.clone(), never);
+                let mut refused = start(now, *attempt, need, "", CutOffRule::Stay, false, now);
+                refused.outcome =
+                    Some(TaskOutcome::Refused("stopped before it started".to_owned()));
+                self.tasks.insert(task.clone(), refused);
             }
             WorkerCommand::Forget { task, attempt } => {
-                let ended = self
-                    .tasks
-                    .get(task)
-                    .is_some_and(|known| known.attempt == *attempt && known.outcome.is_some());
+                let ended = self.tasks.get(task).is_some_and(|current| {
+                    current.attempt == *attempt && current.outcome.is_some()
+                });
                 if ended {
                     self.tasks.remove(task);
                 }
@@ -248,7 +254,7 @@
 
 fn report(id: &TaskId, task: &WorkerTask) -> TaskReport {
     let usage = match task.outcome {
-        Some(_) => TaskUsage { run_time: task.ran, peak: task.need },
+        Some(_) => TaskUsage { run_time: task.run_time, peak: task.need },
         None => TaskUsage::default(),
     };
     TaskReport {
@@ -261,7 +267,8 @@
     }
 }
 
-/// Commands are words: `run MS` runs and succeeds, `fail MS` runs and fails; services run on.
+/// Creates a task from its command: `run MS` runs and succeeds, `fail MS` runs and fails. A task of a service
+/// runs until it is stopped.
 fn start(
     now: Instant,
     attempt: Attempt,
@@ -269,10 +276,10 @@
     command: &str,
     cut_off: CutOffRule,
     service: bool,
-    lease: Instant,
+    lease_end: Instant,
 ) -> WorkerTask {
     let mut words = command.split_whitespace();
-    let verdict = match words.next() {
+    let planned_outcome = match words.next() {
         Some("fail") => TaskOutcome::Failed("exit code 1".to_owned()),
         _ => TaskOutcome::Succeeded,
     };
@@ -283,12 +290,12 @@
         need,
         cut_off,
         started: now,
-        ends: (!service).then(|| now + time),
-        verdict,
-        lease,
+        ends_at: (!service).then(|| now + time),
+        planned_outcome,
+        lease_end,
         outcome: None,
-        ran: Duration::ZERO,
+        run_time: Duration::ZERO,
         endpoint: service.then(String::new),
-        run: None,
+        run_index: None,
     }
 }
--- a/tests/platform/cluster.rs
+++ b/tests/platform/cluster.rs
@@ -19,7 +19,7 @@
 use crate::standin::Platform;
 
 /// Longest wait for anything; a verdict never depends on how long it took.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(60);
+pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
 /// An answer of an entry.
 #[derive(Debug)]
@@ -74,7 +74,7 @@
     }
 
     /// The same in one failure domain, with a door of the store for each entry, of the entry's number.
-    pub(crate) async fn start_apart(
+    pub(crate) async fn start_with_own_endpoints(
         test: u8,
         entries: u8,
         workers: usize,
@@ -89,7 +89,7 @@
         workers: usize,
         queues: &[&str],
         domains: &[&str],
-        apart: bool,
+        own_endpoints: bool,
     ) -> Self {
         let platform = Platform::start(address(test, 1), workers, domains).await;
         platform.configure(1, queues);
@@ -99,8 +99,8 @@
         let http = Client::builder(TokioExecutor::new()).build_http();
         let mut cluster = Self { platform, entries: Vec::new(), folder, http };
         for number in 0..entries {
-            let store = match apart {
-                true => cluster.platform.add_door().await,
+            let store = match own_endpoints {
+                true => cluster.platform.add_endpoint().await,
                 false => cluster.platform.store,
             };
             cluster.add_entry(test, number, domains, store);
@@ -209,11 +209,11 @@
 
     /// Waits until a job is shown in a state.
     pub(crate) async fn wait_state(&self, entry: usize, path: &str, state: &str) {
-        let shown = async || {
+        let has_state = async || {
             let answer = self.call(entry, Method::GET, path, &Value::Null).await;
             answer.is_some_and(|answer| answer.body["state"] == state)
         };
-        wait_for(&format!("{path} to be {state}"), shown).await;
+        wait_for(&format!("{path} to be {state}"), has_state).await;
     }
 
     /// Index of the entry that leads.
@@ -236,8 +236,8 @@
     }
 
     fn index_of(&self, leader: &str) -> Option<usize> {
-        let lives = |entry: &Entry| entry.name == leader && entry.child.is_some();
-        self.entries.iter().position(lives)
+        let is_live_leader = |entry: &Entry| entry.name == leader && entry.child.is_some();
+        self.entries.iter().position(is_live_leader)
     }
 
     /// Kills an entry at once.
@@ -266,7 +266,7 @@
         let id = child.id().to_string();
         assert!(Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
         let begun = Instant::now();
-        while begun.elapsed() < PATIENCE {
+        while begun.elapsed() < WAIT_LIMIT {
             if let Some(status) = child.try_wait().unwrap() {
                 return status.code();
             }
@@ -291,7 +291,7 @@
 pub(crate) async fn wait_for(what: &str, holds: impl AsyncFn() -> bool) {
     let begun = Instant::now();
     while !holds().await {
-        assert!(begun.elapsed() < PATIENCE, "waited in vain for {what}");
+        assert!(begun.elapsed() < WAIT_LIMIT, "waited in vain for {what}");
         sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/platform/inputs.rs
+++ b/tests/platform/inputs.rs
@@ -16,11 +16,11 @@
 /// Longest wait for an answer or the end of a connection; an entry's own bounds are three seconds.
 const ANSWER_TIME: Duration = Duration::from_secs(8);
 /// Largest answer to a refused request, in bytes: some lines of text.
-const ANSWER_BYTES: usize = 4_096;
+const MAX_ANSWER_BYTES: usize = 4_096;
 /// Largest body that the configuration allows, in bytes.
-const BODY_BYTES: usize = 60_000;
+const MAX_BODY_BYTES: usize = 60_000;
 /// A job that is sent behind what is wrong and must never be taken for a request.
-const SMUGGLED: &str = "00000000000000ff";
+const SMUGGLED_JOB: &str = "00000000000000ff";
 
 /// What becomes of the connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -30,9 +30,9 @@
     /// It is closed, and what follows on it is never read as a request.
     Closed,
     /// It is closed though nothing follows.
-    Cut,
+    ClosedByEntry,
     /// The caller ends it without having sent all.
-    Away,
+    CallerLeaves,
 }
 
 /// One wrong, or odd, request.
@@ -43,7 +43,7 @@
     status: Option<u16>,
     ending: RowEnding,
     /// Pause between two bytes.
-    pace: Duration,
+    byte_interval: Duration,
 }
 
 /// What came back on a connection.
@@ -55,12 +55,18 @@
 }
 
 fn row(name: &'static str, sent: impl Into<Vec<u8>>, status: u16, ending: RowEnding) -> InputRow {
-    InputRow { name, sent: sent.into(), status: Some(status), ending, pace: Duration::ZERO }
+    InputRow {
+        name,
+        sent: sent.into(),
+        status: Some(status),
+        ending,
+        byte_interval: Duration::ZERO,
+    }
 }
 
 /// A request with a job whose id is the hexadecimal number of its row.
-fn post_with(id: &str, lines: &str, body: &str) -> String {
-    format!("POST /now/{id} HTTP/1.1\r\nHost: jobs.example\r\n{lines}\r\n{body}")
+fn post_with(id: &str, headers: &str, body: &str) -> String {
+    format!("POST /now/{id} HTTP/1.1\r\nHost: jobs.example\r\n{headers}\r\n{body}")
 }
 
 fn post(id: &str, body: &str) -> String {
@@ -107,14 +113,14 @@
 
 /// Requests that break the rules of HTTP, or that come to no end.
 fn framing_rows() -> Vec<InputRow> {
-    use RowEnding::{Closed, Cut};
+    use RowEnding::{Closed, ClosedByEntry};
     let good = good_job();
     let chunked = format!("{:x}\r\n{good}\r\n0\r\n\r\n", good.len());
     let coding = "Transfer-Encoding: chunked\r\n";
     let length = format!("Content-Length: {}\r\n", good.len());
-    let large = "x".repeat(BODY_BYTES + 1);
+    let large = "x".repeat(MAX_BODY_BYTES + 1);
     let long = "a".repeat(40_000);
-    let lines =
+    let headers =
         |count: usize| (0..count).fold(String::new(), |all, n| all + &format!("A{n}: b\r\n"));
     let mut rows = vec![
         row(
@@ -245,31 +251,31 @@
             Closed,
         ),
         row("a huge target", ask("GET", &format!("/now/{long}")), 431, Closed),
-        row("many lines", post_with("0000000000000111", &lines(200), ""), 431, Closed),
+        row("many headers", post_with("0000000000000111", &headers(200), ""), 431, Closed),
         row(
             "a body that stops",
             post_with("0000000000000112", "Content-Length: 500\r\n", "{\"spec\":"),
             408,
-            Cut,
+            ClosedByEntry,
         ),
     ];
-    let silent = |name, sent: &str, pace| InputRow {
+    let unanswered = |name, sent: &str, byte_interval| InputRow {
         name,
         sent: sent.into(),
         status: None,
-        ending: Cut,
-        pace: Duration::from_millis(pace),
+        ending: ClosedByEntry,
+        byte_interval: Duration::from_millis(byte_interval),
     };
-    rows.push(silent("a connection that says nothing", "", 0));
-    rows.push(silent("a head that stops", "GET /now/ HTTP/1.1\r\nHost: jobs", 0));
-    rows.push(silent("a slow head", &ask("GET", "/now/"), 200));
+    rows.push(unanswered("a connection that says nothing", "", 0));
+    rows.push(unanswered("a head that stops", "GET /now/ HTTP/1.1\r\nHost: jobs", 0));
+    rows.push(unanswered("a slow head", &ask("GET", "/now/"), 200));
     rows.push(InputRow {
         ending: Closed,
-        ..silent("the preface of HTTP/2", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 0)
+        ..unanswered("the preface of HTTP/2", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 0)
     });
     rows.push(InputRow {
-        ending: RowEnding::Away,
-        ..silent(
+        ending: RowEnding::CallerLeaves,
+        ..unanswered(
             "a caller that goes away",
             &post_with("0000000000000113", "Content-Length: 500\r\n", &good),
             0,
@@ -284,8 +290,8 @@
     let good = good_job();
     let length = format!("Content-Length: {}\r\n", good.len());
     let timed = |name, id, time: &str, status| {
-        let lines = format!("{length}Deadline-Ms: {time}\r\n");
-        row(name, post_with(id, &lines, &good), status, Open)
+        let headers = format!("{length}Deadline-Ms: {time}\r\n");
+        row(name, post_with(id, &headers, &good), status, Open)
     };
     vec![
         timed("a time that is no number", "0000000000000201", "NaN", 400),
@@ -449,7 +455,7 @@
 /// Reads one whole answer into the reply, or notes the connection's end.
 async fn read_answer(stream: &mut TcpStream, rest: &mut Vec<u8>, reply: &mut RowReply) {
     loop {
-        if let Some((status, end)) = whole_answer(rest) {
+        if let Some((status, end)) = parse_answer(rest) {
             rest.drain(..end);
             if status >= 200 {
                 reply.statuses.push(status);
@@ -473,7 +479,7 @@
 }
 
 /// Status and length of the answer that some bytes begin with, once it is whole.
-fn whole_answer(bytes: &[u8]) -> Option<(u16, usize)> {
+fn parse_answer(bytes: &[u8]) -> Option<(u16, usize)> {
     let head = bytes.windows(4).position(|end| end == b"\r\n\r\n")? + 4;
     let text = String::from_utf8_lossy(&bytes[..head]).to_lowercase();
     let status = text.split(' ').nth(1)?.parse().ok()?;
@@ -483,7 +489,7 @@
 }
 
 async fn send(stream: &mut TcpStream, row: &InputRow) {
-    if row.pace.is_zero() {
+    if row.byte_interval.is_zero() {
         let _ = stream.write_all(&row.sent).await;
         return;
     }
@@ -491,12 +497,12 @@
         if stream.write_all(&[*byte]).await.is_err() {
             return;
         }
-        sleep(row.pace).await;
+        sleep(row.byte_interval).await;
     }
 }
 
 /// Plays one row on a connection of its own.
-async fn play(address: SocketAddr, row: &InputRow) -> RowReply {
+async fn exchange(address: SocketAddr, row: &InputRow) -> RowReply {
     let mut stream = TcpStream::connect(address).await.unwrap();
     let (mut reply, mut rest) = (RowReply::default(), Vec::new());
     send(&mut stream, row).await;
@@ -506,9 +512,9 @@
             let _ = stream.write_all(next_request().as_bytes()).await;
             read_answer(&mut stream, &mut rest, &mut reply).await;
         }
-        RowEnding::Closed | RowEnding::Cut => {
+        RowEnding::Closed | RowEnding::ClosedByEntry => {
             if row.ending == RowEnding::Closed {
-                let _ = stream.write_all(post(SMUGGLED, &good_job()).as_bytes()).await;
+                let _ = stream.write_all(post(SMUGGLED_JOB, &good_job()).as_bytes()).await;
             }
             while !reply.closed {
                 let before = reply.bytes;
@@ -518,7 +524,7 @@
                 }
             }
         }
-        RowEnding::Away => {
+        RowEnding::CallerLeaves => {
             let _ = stream.shutdown().await;
             read_answer(&mut stream, &mut rest, &mut reply).await;
             reply.statuses.clear();
@@ -528,25 +534,25 @@
 }
 
 /// What is wrong with an answer.
-fn faults(row: &InputRow, reply: &RowReply) -> Vec<String> {
+fn row_faults(row: &InputRow, reply: &RowReply) -> Vec<String> {
     let mut expected: Vec<u16> = row.status.into_iter().collect();
     if row.ending == RowEnding::Open {
         expected.push(200);
     }
-    let mut faults = Vec::new();
-    if row.ending != RowEnding::Away && reply.statuses != expected {
-        faults.push(format!("answers {:?} instead of {expected:?}", reply.statuses));
+    let mut row_faults = Vec::new();
+    if row.ending != RowEnding::CallerLeaves && reply.statuses != expected {
+        row_faults.push(format!("answers {:?} instead of {expected:?}", reply.statuses));
     }
     if row.status.is_none() && row.ending == RowEnding::Closed && reply.bytes > 0 {
-        faults.push(format!("{} bytes where nothing is to be answered", reply.bytes));
+        row_faults.push(format!("{} bytes where nothing is to be answered", reply.bytes));
     }
-    if matches!(row.ending, RowEnding::Closed | RowEnding::Cut) && !reply.closed {
-        faults.push("the connection stays open".to_owned());
+    if matches!(row.ending, RowEnding::Closed | RowEnding::ClosedByEntry) && !reply.closed {
+        row_faults.push("the connection stays open".to_owned());
     }
-    if reply.bytes > ANSWER_BYTES {
-        faults.push(format!("an answer of {} bytes", reply.bytes));
+    if reply.bytes > MAX_ANSWER_BYTES {
+        row_faults.push(format!("an answer of {} bytes", reply.bytes));
     }
-    faults
+    row_faults
 }
 
 /// A proper job on a connection of its own is taken and done.
@@ -558,12 +564,12 @@
     if status != Some(StatusCode::OK) {
         return Some(format!("the next job got {status:?}"));
     }
-    let shown = async || {
+    let is_completed = async || {
         let answer = cluster.call(0, Method::GET, &path, &Value::Null).await;
         answer.is_some_and(|answer| answer.body["state"] == "completed")
     };
     let done = timeout(ANSWER_TIME, async {
-        while !shown().await {
+        while !is_completed().await {
             sleep(Duration::from_millis(5)).await;
         }
     });
@@ -578,16 +584,16 @@
 #[tokio::test]
 async fn bad_input_is_refused_and_the_next_request_is_served() {
     let cluster = Cluster::start(30, 1, 1, &["now"]).await;
-    cluster.platform.configure_bodies(2, &["now"], BODY_BYTES);
+    cluster.platform.configure_bodies(2, &["now"], MAX_BODY_BYTES);
     sleep(Duration::from_millis(500)).await;
     let address = cluster.entries[0].callers;
     let mut found = Vec::new();
     let tables = [framing_rows(), request_rows(), refused_rows(), accepted_rows()];
     for (number, row) in tables.into_iter().flatten().enumerate() {
-        let reply = play(address, &row).await;
-        let mut faults = faults(&row, &reply);
-        faults.extend(next_is_served(&cluster, number).await);
-        found.extend(faults.into_iter().map(|fault| format!("{}: {fault}", row.name)));
+        let reply = exchange(address, &row).await;
+        let mut row_faults = row_faults(&row, &reply);
+        row_faults.extend(next_is_served(&cluster, number).await);
+        found.extend(row_faults.into_iter().map(|fault| format!("{}: {fault}", row.name)));
     }
     for id in ["0401", "0402", "0403", "0404"] {
         let path = format!("/now/000000000000{id}");
@@ -596,7 +602,7 @@
     }
     let starts = cluster.platform.state.starts.lock().unwrap().clone();
     let ran = |prefix: &str| starts.keys().filter(|task| task.starts_with(prefix)).count();
-    for prefix in [SMUGGLED, "00000000000001", "00000000000003"] {
+    for prefix in [SMUGGLED_JOB, "00000000000001", "00000000000003"] {
         expect_that!(ran(prefix), eq(0), "tasks of {prefix} that were begun");
     }
     expect_that!(found, is_empty());
--- a/tests/platform/jobs.rs
+++ b/tests/platform/jobs.rs
@@ -30,8 +30,8 @@
     starts.iter().filter(|(task, _)| task.starts_with(id)).map(|(_, count)| *count).collect()
 }
 
-fn broken(cluster: &Cluster) -> Vec<String> {
-    cluster.platform.state.broken.lock().unwrap().clone()
+fn violations(cluster: &Cluster) -> Vec<String> {
+    cluster.platform.state.violations.lock().unwrap().clone()
 }
 
 #[gtest]
@@ -50,12 +50,12 @@
     expect_that!(again.status, eq(StatusCode::OK));
     expect_that!(starts(&cluster, FIRST), eq(&vec![1; 8]));
     expect_that!(*cluster.platform.state.tickets.lock().unwrap(), gt(0));
-    expect_that!(broken(&cluster), is_empty());
+    expect_that!(violations(&cluster), is_empty());
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_cancelled_job_ends_everywhere() {
+async fn a_cancelled_job_is_cancelled_at_every_entry() {
     let cluster = Cluster::start(1, 2, 2, &["now"]).await;
     let answer = cluster.call(0, Method::POST, FIRST, &job(60_000, 2)).await.unwrap();
     expect_that!(answer.status, eq(StatusCode::OK));
@@ -71,7 +71,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn queues_come_and_go_with_the_configuration() {
+async fn queues_follow_the_configuration() {
     let cluster = Cluster::start(2, 2, 1, &["now"]).await;
     let pending = cluster.call(0, Method::GET, "/now/", &Value::Null).await.unwrap();
     expect_that!(pending.body["pending"], eq(&json!(0)));
@@ -91,10 +91,10 @@
 
 #[gtest]
 #[tokio::test]
-async fn wrong_requests_are_refused_with_their_mistakes() {
+async fn invalid_requests_are_refused_with_their_mistakes() {
     let cluster = Cluster::start(3, 1, 1, &["now"]).await;
-    let later = json!({"spec": "1", "steps": [{"count": 0, "after": [3]}]});
-    let answer = cluster.call(0, Method::POST, FIRST, &later).await.unwrap();
+    let invalid = json!({"spec": "1", "steps": [{"count": 0, "after": [3]}]});
+    let answer = cluster.call(0, Method::POST, FIRST, &invalid).await.unwrap();
     expect_that!(answer.status, eq(StatusCode::BAD_REQUEST));
     let detail = answer.body["detail"].as_str().unwrap_or_default().to_owned();
     expect_that!(detail, contains_substring("0 tasks"));
@@ -113,17 +113,17 @@
 #[tokio::test]
 async fn a_task_that_crashes_its_workers_ends_its_job_and_no_other() {
     let cluster = Cluster::start(12, 2, 4, &["now"]).await;
-    let crashing = "00000000000000a1.0.0.1".to_owned();
-    cluster.platform.state.crashing.lock().unwrap().insert(crashing.clone());
+    let crashing_tasks = "00000000000000a1.0.0.1".to_owned();
+    cluster.platform.state.crashing_tasks.lock().unwrap().insert(crashing_tasks.clone());
     for path in [FIRST, SECOND] {
         let answer = cluster.call(0, Method::POST, path, &job(400, 3)).await.unwrap();
         expect_that!(answer.status, eq(StatusCode::OK), "{path}");
     }
     cluster.wait_state(1, FIRST, "failed").await;
     cluster.wait_state(0, SECOND, "completed").await;
-    let starts = cluster.platform.state.starts.lock().unwrap()[&crashing];
+    let starts = cluster.platform.state.starts.lock().unwrap()[&crashing_tasks];
     expect_that!(starts, le(5));
-    expect_that!(broken(&cluster), is_empty());
+    expect_that!(violations(&cluster), is_empty());
 }
 
 // Ends of a worker that had started again under its id were not read and acknowledged all the same, and its lists were taken
@@ -139,12 +139,12 @@
         expect_that!(starts(&cluster, path), eq(&vec![1; 2 * tasks as usize]), "{path}");
         cluster.platform.restart_worker(0).await;
     }
-    expect_that!(broken(&cluster), is_empty());
+    expect_that!(violations(&cluster), is_empty());
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_killed_leader_costs_no_task() {
+async fn killing_the_leader_loses_no_task() {
     let mut cluster = Cluster::start(4, 3, 3, &["now"]).await;
     let leader = cluster.leading().await;
     let other = (leader + 1) % 3;
@@ -154,7 +154,7 @@
     cluster.kill(leader);
     cluster.wait_state(other, FIRST, "completed").await;
     expect_that!(starts(&cluster, FIRST), eq(&vec![1; 8]));
-    expect_that!(broken(&cluster), is_empty());
+    expect_that!(violations(&cluster), is_empty());
 }
 
 #[gtest]
@@ -169,12 +169,12 @@
     expect_that!(cluster.leading().await, eq(other));
     cluster.wait_state(other, FIRST, "completed").await;
     expect_that!(starts(&cluster, FIRST), eq(&vec![1; 4]));
-    expect_that!(broken(&cluster), is_empty());
+    expect_that!(violations(&cluster), is_empty());
 }
 
 #[gtest]
 #[tokio::test]
-async fn a_store_that_refuses_has_jobs_refused_truthfully() {
+async fn jobs_are_refused_while_the_store_refuses_calls() {
     let cluster = Cluster::start(6, 2, 2, &["now"]).await;
     cluster.platform.set_faults(StoreFaults { refuses: true, loses_answers: 0 });
     let answer = cluster.call(0, Method::POST, FIRST, &job(50, 1)).await.unwrap();
@@ -192,7 +192,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_lost_answer_of_the_store_is_no_second_job() {
+async fn a_lost_answer_of_the_store_does_not_run_a_job_twice() {
     let cluster = Cluster::start(7, 2, 2, &["now"]).await;
     cluster.platform.set_faults(StoreFaults { refuses: false, loses_answers: 3 });
     let answer = cluster.call(0, Method::POST, FIRST, &job(50, 2)).await.unwrap();
@@ -216,11 +216,11 @@
     let answer = cluster.call(other, Method::POST, FIRST, &job(100, 2)).await.unwrap();
     expect_that!(answer.status, eq(StatusCode::OK));
     cluster.wait_state(other, FIRST, "completed").await;
-    expect_that!(broken(&cluster), is_empty());
+    expect_that!(violations(&cluster), is_empty());
 }
 
 #[gtest]
-fn wrong_settings_are_reported_with_their_place() {
+fn invalid_settings_are_reported_with_their_position() {
     let folder = std::env::temp_dir().join(format!("kelplink-{}-settings", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let file = folder.join("local.toml");
--- a/tests/platform/logs.rs
+++ b/tests/platform/logs.rs
@@ -17,24 +17,24 @@
 use crate::cluster::{Cluster, wait_for};
 
 /// Message of the line for each run of a worker whose lease is over.
-const LEASE_OVER: &str = "run given up with its worker's lease";
+const LEASE_EXPIRED_MESSAGE: &str = "run given up with its worker's lease";
 
 /// How long the store is away: the lines of one try each would be over a hundred.
 const OUTAGE: Duration = Duration::from_secs(4);
 /// Lines that an entry may log in an outage besides one a second: its duties' decisions.
 const OTHER_LINES: usize = 15;
-const TRIES: &str = "kelplink_dependency_tries_failed_total{dependency=\"store\"}";
+const FAILED_TRIES_METRIC: &str = "kelplink_dependency_tries_failed_total{dependency=\"store\"}";
 
-fn is_about(dependency: &str, line: &Value, message: &str) -> bool {
+fn is_event(dependency: &str, line: &Value, message: &str) -> bool {
     line["message"] == message && line["dependency"] == dependency
 }
 
-fn is_about_store(line: &Value, message: &str) -> bool {
-    is_about("store", line, message)
+fn is_store_event(line: &Value, message: &str) -> bool {
+    is_event("store", line, message)
 }
 
 fn count(lines: &[Value], message: &str) -> usize {
-    lines.iter().filter(|line| is_about_store(line, message)).count()
+    lines.iter().filter(|line| is_store_event(line, message)).count()
 }
 
 /// A field that is a number.
@@ -44,7 +44,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_store_that_refuses_connections_is_a_line_a_second() {
+async fn an_unreachable_store_is_logged_once_a_second_at_most() {
     let mut cluster = Cluster::start(20, 2, 2, &["now"]).await;
     cluster.leading().await;
     let before = [cluster.log(0).len(), cluster.log(1).len()];
@@ -58,7 +58,7 @@
     cluster.platform.open_store().await;
     for (entry, skipped) in before.into_iter().enumerate() {
         let since = |cluster: &Cluster| cluster.log(entry).split_off(skipped);
-        let back = |line: &Value| is_about_store(line, "a dependency is back");
+        let back = |line: &Value| is_store_event(line, "a dependency is back");
         wait_for("the line of the return", async || since(&cluster).iter().any(back)).await;
         let passed = begun.elapsed();
         let mut lines = since(&cluster);
@@ -73,7 +73,7 @@
         expect_that!(number(back, "away_ms"), ge(OUTAGE.as_secs_f64() * 500.0));
         expect_that!(number(back, "away_ms"), le(passed.as_secs_f64() * 1_000.0));
         expect_that!(number(back, "tries_failed"), ge(10.0));
-        let tries = cluster.metric(entry, TRIES).await;
+        let tries = cluster.metric(entry, FAILED_TRIES_METRIC).await;
         expect_that!(tries, some(ge(number(back, "tries_failed"))));
         cluster.wait_ready(entry).await;
     }
@@ -84,7 +84,7 @@
 // became of a run is told by its last line, so one says that its stop was not answered.
 #[gtest]
 #[tokio::test]
-async fn a_stop_that_is_not_answered_is_one_line() {
+async fn an_unanswered_stop_is_logged_once() {
     let cluster = Cluster::start(21, 1, 2, &["now"]).await;
     let job = json!({"spec": "60000", "steps": [{
         "count": 4, "millicpu": 1_000, "mem_mb": 100, "estimated_ms": 60_000, "after": [],
@@ -103,7 +103,8 @@
         let lines = cluster.log(0).into_iter().filter(|line| line["message"] == message);
         lines.map(|line| line["task"].to_string()).collect::<Vec<_>>()
     };
-    wait_for("the workers' leases to be over", async || tasks(LEASE_OVER).len() == 4).await;
+    wait_for("the workers' leases to be over", async || tasks(LEASE_EXPIRED_MESSAGE).len() == 4)
+        .await;
     expect_that!(tasks("stop failed").len(), eq(4));
     expect_that!(tasks("stop failed").into_iter().collect::<BTreeSet<_>>().len(), eq(4));
     expect_that!(cluster.metric(0, "kelplink_failed_stops_total").await, some(gt(4.0)));
@@ -113,7 +114,7 @@
 // trace was the next leader's election. Calls are tried each 40 ms, so the rule of the store holds here.
 #[gtest]
 #[tokio::test]
-async fn a_leader_that_is_lost_is_a_line_a_second() {
+async fn an_unreachable_leader_is_logged_once_a_second_at_most() {
     let mut cluster = Cluster::start(22, 2, 2, &["now"]).await;
     let leader = cluster.leading().await;
     let other = 1 - leader;
@@ -126,13 +127,13 @@
     };
     wait_for("the other entry to lead", served).await;
     let since = || cluster.log(other).split_off(before);
-    let back = |line: &Value| is_about("leader", line, "a dependency is back");
+    let back = |line: &Value| is_event("leader", line, "a dependency is back");
     wait_for("the line of the return", async || since().iter().any(back)).await;
     let mut lines = since();
     lines.truncate(lines.iter().position(back).unwrap() + 1);
-    let lost = lines.iter().filter(|line| is_about("leader", line, "a dependency is lost"));
+    let lost = lines.iter().filter(|line| is_event("leader", line, "a dependency is lost"));
     expect_that!(lost.count(), eq(1));
-    let still = lines.iter().filter(|line| is_about("leader", line, "a dependency is still lost"));
+    let still = lines.iter().filter(|line| is_event("leader", line, "a dependency is still lost"));
     expect_that!(still.count(), le(begun.elapsed().as_secs() as usize + 1));
     expect_that!(number(lines.last().unwrap(), "tries_failed"), ge(3.0));
 }
--- a/tests/platform/registrations.rs
+++ b/tests/platform/registrations.rs
@@ -37,7 +37,7 @@
 }
 
 /// An address where nothing answers, and how often it was connected to.
-async fn decoy(cluster: &Cluster) -> (String, Arc<AtomicU32>) {
+async fn unused_address(cluster: &Cluster) -> (String, Arc<AtomicU32>) {
     let listener = TcpListener::bind((cluster.platform.store.ip(), 0)).await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let connections = Arc::new(AtomicU32::new(0));
@@ -55,13 +55,13 @@
 /// those at the address of a good worker may not take it away.
 #[gtest]
 #[tokio::test]
-async fn entries_of_another_writer_name_no_worker_and_the_others_hold() {
+async fn foreign_registrations_are_ignored_and_valid_ones_stay_in_use() {
     let mut cluster = Cluster::start(40, 2, 2, &["now"]).await;
     let state = cluster.platform.state.clone();
-    let whole = state.value(WORKER).unwrap();
+    let registration = state.value(WORKER).unwrap();
     submit(&cluster, FIRST, &job(2_000, 4)).await;
     cluster.wait_state(0, FIRST, "running").await;
-    let (elsewhere, connections) = decoy(&cluster).await;
+    let (unused, connections) = unused_address(&cluster).await;
     let changes = [
         ("state", json!("asleep")),
         ("zone", Value::Null),
@@ -72,16 +72,16 @@
         ("labels", json!({})),
     ];
     for (number, (field, value)) in changes.iter().enumerate() {
-        for (place, address) in [("here", &whole["address"]), ("there", &json!(elsewhere))] {
-            let mut entry = whole.clone();
+        for (place, address) in [("here", &registration["address"]), ("there", &json!(unused))] {
+            let mut entry = registration.clone();
             entry["address"] = address.clone();
             entry[field] = value.clone();
             state.put(&format!("servers/{place}-{number}"), &entry);
         }
     }
     for key in ["servers/", "servers/a/b", "servers/a b&c"] {
-        let mut entry = whole.clone();
-        entry["address"] = json!(elsewhere);
+        let mut entry = registration.clone();
+        entry["address"] = json!(unused);
         state.put(key, &entry);
     }
     sleep(Duration::from_millis(300)).await;
@@ -102,33 +102,33 @@
     cluster.wait_state(other, SECOND, "completed").await;
     expect_that!(starts(&cluster, SECOND), eq(&vec![1; 16]));
     expect_that!(connections.load(Ordering::Relaxed), eq(0));
-    expect_that!(*state.broken.lock().unwrap(), is_empty());
+    expect_that!(*state.violations.lock().unwrap(), is_empty());
 }
 
 /// A worker whose entry could no longer be read went on being given work until the list was read anew.
 /// It is given none, what runs there goes on, and it is used again when its entry is whole.
 #[gtest]
 #[tokio::test]
-async fn a_worker_whose_entry_turns_bad_is_used_again_when_it_is_whole() {
+async fn a_worker_is_used_again_once_its_registration_is_valid_again() {
     let cluster = Cluster::start(41, 1, 1, &["now"]).await;
     let state = cluster.platform.state.clone();
-    let whole = state.value(WORKER).unwrap();
+    let registration = state.value(WORKER).unwrap();
     submit(&cluster, FIRST, &job(1_000, 2)).await;
     cluster.wait_state(0, FIRST, "running").await;
     let asleep = json!({"state": "asleep"});
-    let breaks: [&dyn Fn(); 3] = [
+    let corruptions: [&dyn Fn(); 3] = [
         &|| state.put_bytes(WORKER, b"no json".to_vec()),
         &|| state.put_raw(WORKER, json!("no base64!")),
         &|| state.put(WORKER, &asleep),
     ];
-    for (number, spoil) in breaks.iter().enumerate() {
-        spoil();
+    for (number, corrupt) in corruptions.iter().enumerate() {
+        corrupt();
         sleep(Duration::from_millis(300)).await;
         let path = format!("/now/00000000000001b{number}");
         submit(&cluster, &path, &job(50, 1)).await;
         sleep(Duration::from_millis(500)).await;
         expect_that!(starts(&cluster, &path), is_empty(), "{number}");
-        state.put(WORKER, &whole);
+        state.put(WORKER, &registration);
         cluster.wait_state(0, &path, "completed").await;
         expect_that!(starts(&cluster, &path), eq(&vec![1]), "{number}");
     }
--- a/tests/platform/shards.rs
+++ b/tests/platform/shards.rs
@@ -84,5 +84,5 @@
     for path in [JOBS[0], JOBS[1], JOBS[3], JOBS[4]] {
         expect_that!(starts(&cluster, path), eq(&vec![1; 4]), "{path}");
     }
-    expect_that!(*cluster.platform.state.broken.lock().unwrap(), is_empty());
+    expect_that!(*cluster.platform.state.violations.lock().unwrap(), is_empty());
 }
--- a/tests/platform/standin.rs
+++ b/tests/platform/standin.rs
@@ -21,12 +21,12 @@
 use tokio::time::sleep;
 
 /// How often a waiting call looks again.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// How long after the start of a task that crashes it a worker goes, and how long it is away.
-const CRASH_AFTER: Duration = Duration::from_millis(10);
-const AWAY: Duration = Duration::from_millis(700);
+const CRASH_DELAY: Duration = Duration::from_millis(10);
+const DOWNTIME: Duration = Duration::from_millis(700);
 /// How long after its start a worker registers.
-const HEARTBEAT: Duration = Duration::from_millis(300);
+const REGISTRATION_DELAY: Duration = Duration::from_millis(300);
 /// Longest lease of a worker, in milliseconds.
 const HOLD_MAX_MS: u64 = 6_000;
 
@@ -51,12 +51,12 @@
 
 /// What the store answers at one of its doors.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(crate) enum StoreDoor {
+pub(crate) enum EndpointAccess {
     /// Everything.
     #[default]
     Open,
     /// Changes and leases; reads and watches are answered 503.
-    Unread,
+    WriteOnly,
     /// Nothing: every call is answered 503.
     Closed,
 }
@@ -69,7 +69,7 @@
 struct WorkerState {
     id: String,
     /// Number of its starts before this one.
-    lives: u32,
+    restarts: u32,
     /// Whether it leaves calls unanswered.
     down: bool,
     begun: Instant,
@@ -88,18 +88,18 @@
     store: Mutex<StoreState>,
     faults: Mutex<StoreFaults>,
     /// Addresses of the store beside its first, by number.
-    doors: Mutex<Vec<StoreDoor>>,
+    endpoints: Mutex<Vec<EndpointAccess>>,
     workers: Mutex<Vec<WorkerState>>,
     /// Workers that leave calls unanswered.
     silent: Mutex<BTreeSet<String>>,
     /// Broken promises that a worker has seen.
-    pub(crate) broken: Mutex<Vec<String>>,
+    pub(crate) violations: Mutex<Vec<String>>,
     /// Starts of tasks, by task.
     pub(crate) starts: Mutex<BTreeMap<String, u32>>,
     /// Tickets that were given.
     pub(crate) tickets: Mutex<u32>,
     /// Tasks that crash each worker that starts them.
-    pub(crate) crashing: Mutex<BTreeSet<String>>,
+    pub(crate) crashing_tasks: Mutex<BTreeSet<String>>,
 }
 
 /// A running stand-in.
@@ -121,13 +121,13 @@
         let state = Arc::new(PlatformState {
             store: Mutex::default(),
             faults: Mutex::default(),
-            doors: Mutex::default(),
+            endpoints: Mutex::default(),
             workers: Mutex::default(),
             silent: Mutex::default(),
-            broken: Mutex::default(),
+            violations: Mutex::default(),
             starts: Mutex::default(),
             tickets: Mutex::default(),
-            crashing: Mutex::default(),
+            crashing_tasks: Mutex::default(),
         });
         let (store, store_server) = serve_store((ip, 0).into(), &state).await;
         let advise =
@@ -174,22 +174,22 @@
     }
 
     /// Opens one more address of the store, whose callers can be cut off by themselves.
-    pub(crate) async fn add_door(&self) -> SocketAddr {
+    pub(crate) async fn add_endpoint(&self) -> SocketAddr {
         let number = {
-            let mut doors = lock(&self.state.doors);
-            doors.push(StoreDoor::Open);
-            doors.len() - 1
+            let mut endpoints = lock(&self.state.endpoints);
+            endpoints.push(EndpointAccess::Open);
+            endpoints.len() - 1
         };
         let call = move |state: Arc<PlatformState>, request| async move {
-            door_call(&state, number, request).await
+            endpoint_call(&state, number, request).await
         };
         let (address, _) = listen((self.store.ip(), 0).into(), self.state.clone(), call).await;
         address
     }
 
     /// Sets what the store answers at a door, also to calls that it has taken and not answered yet.
-    pub(crate) fn set_door(&self, number: usize, door: StoreDoor) {
-        lock(&self.state.doors)[number] = door;
+    pub(crate) fn set_endpoint_access(&self, number: usize, access: EndpointAccess) {
+        lock(&self.state.endpoints)[number] = access;
     }
 
     /// Writes a configuration with the given queues.
@@ -293,9 +293,9 @@
 
 impl PlatformState {
     /// Leaves a call unanswered for as long as a worker is silent.
-    async fn pass_silence(&self, worker: &str) {
+    async fn wait_while_silent(&self, worker: &str) {
         while lock(&self.silent).contains(worker) {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -352,11 +352,11 @@
     }
 
     /// Ends leases that have run out.
-    fn pass(&mut self) {
+    fn expire(&mut self) {
         let now = Instant::now();
-        let over: Vec<u64> =
+        let expired: Vec<u64> =
             self.leases.iter().filter(|(_, (_, end))| *end < now).map(|(id, _)| *id).collect();
-        for lease in over {
+        for lease in expired {
             self.end_lease(lease);
         }
     }
@@ -408,7 +408,7 @@
     if lock(&state.faults).refuses {
         return answer(503, &json!({}));
     }
-    lock(&state.store).pass();
+    lock(&state.store).expire();
     let path = request.uri().path().to_owned();
     match path.as_str() {
         "/api/kv-key" => {
@@ -464,17 +464,17 @@
     }
 }
 
-async fn door_call(
+async fn endpoint_call(
     state: &PlatformState,
     number: usize,
     request: Request<Incoming>,
 ) -> Option<Response<Full<Bytes>>> {
     let path = request.uri().path();
     let reads = ["/api/kv-key", "/api/kv-range", "/api/kv-watch"].contains(&path);
-    let refuses = || match lock(&state.doors)[number] {
-        StoreDoor::Open => false,
-        StoreDoor::Unread => reads,
-        StoreDoor::Closed => true,
+    let refuses = || match lock(&state.endpoints)[number] {
+        EndpointAccess::Open => false,
+        EndpointAccess::WriteOnly => reads,
+        EndpointAccess::Closed => true,
     };
     if refuses() {
         return answer(503, &json!({}));
@@ -495,7 +495,7 @@
     loop {
         {
             let mut store = lock(&state.store);
-            store.pass();
+            store.expire();
             let fits = |(revision, event): &&(u64, Value)| {
                 *revision > after
                     && event["key"].as_str().is_some_and(|key| key.starts_with(&prefix))
@@ -506,7 +506,7 @@
                 return answer(200, &json!({"events": events, "as_of": store.revision}));
             }
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -526,7 +526,7 @@
     fn new(id: String) -> Self {
         Self {
             id,
-            lives: 0,
+            restarts: 0,
             down: false,
             begun: Instant::now(),
             born: unix_millis(),
@@ -544,11 +544,12 @@
     }
 
     /// Ends what is over, and everything once the lease is.
-    fn pass(&mut self) {
+    fn expire(&mut self) {
         let (now, lapsed) = (Instant::now(), self.clock_ms() > self.until_ms);
-        let over = self.runs.iter().filter(|(_, run)| lapsed || run.ends <= now);
-        let over: Vec<(String, u64)> = over.map(|(task, run)| (task.clone(), run.run)).collect();
-        for (task, run) in over {
+        let expired = self.runs.iter().filter(|(_, run)| lapsed || run.ends <= now);
+        let expired: Vec<(String, u64)> =
+            expired.map(|(task, run)| (task.clone(), run.run)).collect();
+        for (task, run) in expired {
             self.end(&task, run, if lapsed { "lapsed" } else { "done" });
         }
     }
@@ -575,7 +576,7 @@
     number: usize,
     request: Request<Incoming>,
 ) -> Option<Response<Full<Bytes>>> {
-    state.pass_silence(&format!("w{number}")).await;
+    state.wait_while_silent(&format!("w{number}")).await;
     let id = {
         let worker = &lock(&state.workers)[number];
         if worker.down {
@@ -594,7 +595,7 @@
     {
         let mut workers = lock(&state.workers);
         let worker = &mut workers[number];
-        worker.pass();
+        worker.expire();
         if epoch < worker.fence {
             return worker.refuse("fence");
         }
@@ -604,7 +605,7 @@
         "/api/run-start" => {
             let answer = start(state, number, &body);
             let task = body["task"].as_str().unwrap_or_default();
-            if lock(&state.crashing).contains(task) {
+            if lock(&state.crashing_tasks).contains(task) {
                 tokio::spawn(crash(state.clone(), number));
             }
             answer
@@ -627,16 +628,16 @@
 
 /// A worker goes some milliseconds after a start, and is back under another name.
 async fn crash(state: Arc<PlatformState>, number: usize) {
-    sleep(CRASH_AFTER).await;
+    sleep(CRASH_DELAY).await;
     lock(&state.workers)[number].down = true;
-    sleep(AWAY).await;
+    sleep(DOWNTIME).await;
     let old = format!("servers/{}", lock(&state.workers)[number].id);
     let mut registration = state.value(&old).unwrap_or_default();
     let id = {
         let mut workers = lock(&state.workers);
-        let lives = workers[number].lives + 1;
-        let id = format!("w{number}-{lives}");
-        workers[number] = WorkerState { lives, ..WorkerState::new(id.clone()) };
+        let restarts = workers[number].restarts + 1;
+        let id = format!("w{number}-{restarts}");
+        workers[number] = WorkerState { restarts, ..WorkerState::new(id.clone()) };
         registration["born"] = json!(workers[number].born);
         id
     };
@@ -647,7 +648,7 @@
 /// A worker goes, and is back under its id, knowing nothing.
 async fn restart(state: Arc<PlatformState>, number: usize) {
     lock(&state.workers)[number].down = true;
-    sleep(AWAY).await;
+    sleep(DOWNTIME).await;
     let (key, born) = {
         let mut workers = lock(&state.workers);
         let worker = WorkerState::new(workers[number].id.clone());
@@ -655,7 +656,7 @@
         workers[number] = worker;
         place
     };
-    sleep(HEARTBEAT).await;
+    sleep(REGISTRATION_DELAY).await;
     let mut registration = state.value(&key).unwrap_or_default();
     registration["born"] = json!(born);
     state.put(&key, &registration);
@@ -680,7 +681,8 @@
     }
     if !worker.runs.contains_key(&task) {
         if elsewhere {
-            lock(&state.broken).push(format!("{task} begins on {} and runs elsewhere", worker.id));
+            lock(&state.violations)
+                .push(format!("{task} begins on {} and runs elsewhere", worker.id));
         }
         *lock(&state.starts).entry(task.clone()).or_default() += 1;
         let ends = Instant::now() + Duration::from_millis(millis);
@@ -708,7 +710,7 @@
             }
             let until = body["until_ms"].as_u64().unwrap_or(0);
             worker.until_ms = worker.until_ms.max(until.min(worker.clock_ms() + HOLD_MAX_MS));
-            worker.pass();
+            worker.expire();
             worker.ended.retain(|row| row[0].as_u64().unwrap_or(0) > acked);
             if !worker.ended.is_empty() || Instant::now() >= end {
                 let running =
@@ -719,6 +721,6 @@
                 return answer(200, &lists);
             }
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/tests/platform/succession.rs
+++ b/tests/platform/succession.rs
@@ -5,34 +5,34 @@
 use serde_json::{Value, json};
 
 use crate::cluster::{Answer, Cluster, wait_for};
-use crate::standin::StoreDoor;
+use crate::standin::EndpointAccess;
 
 /// Accepted by the leader that is succeeded.
-const KNOWN: &str = "/now/00000000000000d1";
+const OLD_JOB: &str = "/now/00000000000000d1";
 /// Accepted by the leader after it.
-const LATER: &str = "/now/00000000000000d2";
+const NEW_JOB: &str = "/now/00000000000000d2";
 /// Questions in a row, each of which has to be answered rightly.
-const QUESTIONS: usize = 3;
+const REQUESTS: usize = 3;
 
 /// Three entries, each with a door of the store, and a worker that begins nothing; the first leader is cut off and the
 /// second has accepted a job that the first does not know.
-struct Succession {
+struct DeposedLeader {
     cluster: Cluster,
     first: usize,
 }
 
-impl Succession {
+impl DeposedLeader {
     async fn new(test: u8) -> Self {
-        let cluster = Cluster::start_apart(test, 3, 1, &["now"]).await;
+        let cluster = Cluster::start_with_own_endpoints(test, 3, 1, &["now"]).await;
         cluster.platform.silence("w0");
         let first = cluster.leading().await;
-        submit(&cluster, first, KNOWN).await;
-        cluster.platform.set_door(first, StoreDoor::Closed);
+        submit(&cluster, first, OLD_JOB).await;
+        cluster.platform.set_endpoint_access(first, EndpointAccess::Closed);
         let name = cluster.entries[first].name.clone();
         let leader = || cluster.platform.leader("m/leader");
         wait_for("a second leader", async || leader().is_some_and(|leader| leader != name)).await;
         let second = cluster.leading().await;
-        submit(&cluster, second, LATER).await;
+        submit(&cluster, second, NEW_JOB).await;
         Self { cluster, first }
     }
 
@@ -42,18 +42,18 @@
     }
 
     /// Waits until it does not count without the later job, which it may for two seconds.
-    async fn wait_counted(&self) {
-        let counted = async || {
+    async fn wait_until_count_is_current(&self) {
+        let count_is_current = async || {
             let answer = self.ask(Method::GET, "/now/").await;
             answer.status == StatusCode::SERVICE_UNAVAILABLE || answer.body["pending"] == json!(2)
         };
-        wait_for("no old count", counted).await;
+        wait_for("no old count", count_is_current).await;
     }
 
-    async fn expect_nothing_gone(&self) {
-        for _ in 0..QUESTIONS {
+    async fn expect_new_job_unknown(&self) {
+        for _ in 0..REQUESTS {
             for method in [Method::GET, Method::DELETE] {
-                let answer = self.ask(method.clone(), LATER).await;
+                let answer = self.ask(method.clone(), NEW_JOB).await;
                 expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE), "{method}");
                 expect_that!(answer.retry_after, some(eq("1")), "{method}");
             }
@@ -74,15 +74,15 @@
 // It went on leading for as long as no worker told it of the next: 410 for its jobs, and a count without them.
 #[gtest]
 #[tokio::test]
-async fn a_leader_that_is_cut_off_from_the_store_denies_later_jobs() {
-    let succession = Succession::new(60).await;
-    succession.expect_nothing_gone().await;
-    succession.wait_counted().await;
-    for _ in 0..QUESTIONS {
-        let answer = succession.ask(Method::GET, "/now/").await;
+async fn a_leader_cut_off_from_the_store_answers_503_for_newer_jobs() {
+    let deposed = DeposedLeader::new(60).await;
+    deposed.expect_new_job_unknown().await;
+    deposed.wait_until_count_is_current().await;
+    for _ in 0..REQUESTS {
+        let answer = deposed.ask(Method::GET, "/now/").await;
         expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
         // What it has accepted it tells all the same.
-        let known = succession.ask(Method::GET, KNOWN).await;
+        let known = deposed.ask(Method::GET, OLD_JOB).await;
         expect_that!(known.body["state"], eq(&json!("queued")));
     }
 }
@@ -91,19 +91,19 @@
 // lease passed for renewals of the one that it was elected under.
 #[gtest]
 #[tokio::test]
-async fn a_leader_that_registers_anew_denies_later_jobs() {
-    let succession = Succession::new(61).await;
-    let Succession { cluster, first } = &succession;
-    cluster.platform.set_door(*first, StoreDoor::Unread);
+async fn a_leader_that_registers_again_answers_503_for_newer_jobs() {
+    let deposed = DeposedLeader::new(61).await;
+    let DeposedLeader { cluster, first } = &deposed;
+    cluster.platform.set_endpoint_access(*first, EndpointAccess::WriteOnly);
     let key = format!("m/entry/{}", cluster.entries[*first].name);
     let registered = async || cluster.platform.state.value(&key).is_some();
     wait_for("the first leader to register anew", registered).await;
-    succession.expect_nothing_gone().await;
-    succession.wait_counted().await;
-    succession.expect_nothing_gone().await;
+    deposed.expect_new_job_unknown().await;
+    deposed.wait_until_count_is_current().await;
+    deposed.expect_new_job_unknown().await;
     // Once it can read again, its callers are served by the second leader.
-    cluster.platform.set_door(*first, StoreDoor::Open);
-    cluster.wait_state(*first, LATER, "queued").await;
-    let whole = async || succession.ask(Method::GET, "/now/").await.body["pending"] == json!(2);
-    wait_for("both jobs to be counted", whole).await;
+    cluster.platform.set_endpoint_access(*first, EndpointAccess::Open);
+    cluster.wait_state(*first, NEW_JOB, "queued").await;
+    let both_counted = async || deposed.ask(Method::GET, "/now/").await.body["pending"] == json!(2);
+    wait_for("both jobs to be counted", both_counted).await;
 }
