--- a/tests/platform/cluster.rs
+++ b/tests/platform/cluster.rs
@@ -1,4 +1,4 @@
-//! Real processes on loopback addresses of their own, and calls to them.
+//! Starts entry processes, each on its own loopback address, and calls them.
 
 use std::fs;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -18,10 +18,10 @@
 
 use crate::standin::Platform;
 
-/// Longest wait for anything; a verdict never depends on how long it took.
+/// Longest wait for any condition. No check depends on how long a wait took.
 pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
-/// An answer of an entry.
+/// An HTTP answer of an entry.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
@@ -29,7 +29,7 @@
     pub(crate) body: Value,
 }
 
-/// An entry.
+/// An entry process.
 pub(crate) struct Entry {
     pub(crate) name: String,
     pub(crate) callers: SocketAddr,
@@ -38,7 +38,7 @@
     child: Option<Child>,
 }
 
-/// The stand-in and some entries.
+/// The stand-in of the platform and the entry processes.
 pub(crate) struct Cluster {
     pub(crate) platform: Platform,
     pub(crate) entries: Vec<Entry>,
@@ -52,17 +52,17 @@
     IpAddr::V4(Ipv4Addr::new(127, 16 + test % 64 + 64 * (high % 3), low.max(1), host))
 }
 
-/// Ports of callers, balancer and other entries. Each entry has an address of its own; these are below
-/// the range from which ports of outgoing connections are taken.
+/// Ports for callers, the load balancer and other entries. Each entry has its own address. The ports lie
+/// below the range for outgoing connections.
 const PORTS: [u16; 3] = [7_001, 7_002, 7_003];
 
 impl Cluster {
-    /// Starts everything and waits until an entry leads and all are ready.
+    /// Starts the platform and the entries, and waits until all entries are ready.
     pub(crate) async fn start(test: u8, entries: u8, workers: usize, queues: &[&str]) -> Self {
         Self::start_in(test, entries, workers, queues, &["a"]).await
     }
 
-    /// The same, with entries and workers that take turns among failure domains.
+    /// Does the same, with entries and workers distributed over failure domains in turn.
     pub(crate) async fn start_in(
         test: u8,
         entries: u8,
@@ -73,7 +73,8 @@
         Self::start_on(test, entries, workers, queues, domains, false).await
     }
 
-    /// The same in one failure domain, with a door of the store for each entry, of the entry's number.
+    /// Does the same in one failure domain. Each entry has its own endpoint of the store, with the
+    /// entry's number.
     pub(crate) async fn start_with_own_endpoints(
         test: u8,
         entries: u8,
@@ -94,7 +95,7 @@
         let platform = Platform::start(address(test, 1), workers, domains).await;
         platform.configure(1, queues);
         let folder = std::env::temp_dir().join(format!("kelplink-{}-{test}", std::process::id()));
-        // Fails where two tests have one number: they would share addresses and logs.
+        // Fails if two tests have the same number: they would share addresses and logs.
         fs::create_dir(&folder).unwrap();
         let http = Client::builder(TokioExecutor::new()).build_http();
         let mut cluster = Self { platform, entries: Vec::new(), folder, http };
@@ -150,13 +151,13 @@
         self.folder.join(format!("{name}.log"))
     }
 
-    /// What an entry has logged so far, by line.
+    /// Returns the log lines of an entry so far.
     pub(crate) fn log(&self, number: usize) -> Vec<Value> {
         let text = fs::read_to_string(self.log_file(&self.entries[number].name)).unwrap();
         text.lines().filter_map(|line| serde_json::from_str(line).ok()).collect()
     }
 
-    /// Value of a metric of an entry, named with its labels.
+    /// Returns the value of an entry's metric, given its name with labels.
     pub(crate) async fn metric(&self, number: usize, name: &str) -> Option<f64> {
         let url = format!("http://{}/metrics", self.entries[number].metrics);
         let response = self.http.get(url.parse().unwrap()).await.ok()?;
@@ -167,7 +168,8 @@
 
     pub(crate) async fn wait_ready(&self, number: usize) {
         let url = format!("http://{}/api/readyz", self.entries[number].ready);
-        let ready = async || self.get_url(&url).await.is_some_and(|a| a.status == StatusCode::OK);
+        let ready =
+            async || self.get_url(&url).await.is_some_and(|answer| answer.status == StatusCode::OK);
         wait_for("an entry to be ready", ready).await;
     }
 
@@ -185,7 +187,7 @@
         Some(Answer { status, retry_after: retry_after.map(str::to_owned), body })
     }
 
-    /// Sends a request of a caller to an entry; `None` where the connection broke.
+    /// Sends a caller's request to an entry. Returns `None` if the connection broke.
     pub(crate) async fn call(
         &self,
         entry: usize,
@@ -207,7 +209,7 @@
         self.send(request).await
     }
 
-    /// Waits until a job is shown in a state.
+    /// Waits until an entry reports a job in a state.
     pub(crate) async fn wait_state(&self, entry: usize, path: &str, state: &str) {
         let has_state = async || {
             let answer = self.call(entry, Method::GET, path, &Value::Null).await;
@@ -218,8 +220,8 @@
 
     /// Index of the entry that leads.
     pub(crate) async fn leading(&self) -> usize {
-        let known = async || self.leader_index().is_some();
-        wait_for("a leader", known).await;
+        let has_leader = async || self.leader_index().is_some();
+        wait_for("a leader", has_leader).await;
         self.leader_index().unwrap()
     }
 
@@ -240,7 +242,7 @@
         self.entries.iter().position(is_live_leader)
     }
 
-    /// Kills an entry at once.
+    /// Kills an entry with SIGKILL.
     pub(crate) fn kill(&mut self, number: usize) {
         if let Some(mut child) = self.entries[number].child.take() {
             child.kill().unwrap();
@@ -248,7 +250,7 @@
         }
     }
 
-    /// Lets an entry run for a seventh of the time, for a moment.
+    /// Slows an entry down briefly: it is stopped for 120 ms and then runs for 20 ms.
     pub(crate) async fn slow_down(&self, number: usize) {
         let Some(child) = &self.entries[number].child else {
             return;
@@ -260,13 +262,13 @@
         }
     }
 
-    /// Asks an entry to stop, and gives its exit code.
+    /// Stops an entry with SIGTERM and returns its exit code, or `None` if it had to be killed.
     pub(crate) async fn stop(&mut self, number: usize) -> Option<i32> {
         let mut child = self.entries[number].child.take()?;
         let id = child.id().to_string();
         assert!(Command::new("kill").args(["-TERM", &id]).status().unwrap().success());
-        let begun = Instant::now();
-        while begun.elapsed() < WAIT_LIMIT {
+        let started = Instant::now();
+        while started.elapsed() < WAIT_LIMIT {
             if let Some(status) = child.try_wait().unwrap() {
                 return status.code();
             }
@@ -287,11 +289,11 @@
     }
 }
 
-/// Waits until something holds.
-pub(crate) async fn wait_for(what: &str, holds: impl AsyncFn() -> bool) {
-    let begun = Instant::now();
-    while !holds().await {
-        assert!(begun.elapsed() < WAIT_LIMIT, "waited in vain for {what}");
+/// Waits until a condition holds.
+pub(crate) async fn wait_for(what: &str, condition: impl AsyncFn() -> bool) {
+    let started = Instant::now();
+    while !condition().await {
+        assert!(started.elapsed() < WAIT_LIMIT, "timed out waiting for {what}");
         sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/platform/succession.rs
+++ b/tests/platform/deposed_leader.rs
@@ -1,4 +1,4 @@
-//! A leader that was succeeded without knowing it, asked by its own callers, through the running program.
+//! Answers of an entry whose leadership has ended without its having noticed.
 
 use googletest::prelude::*;
 use hyper::{Method, StatusCode};
@@ -7,15 +7,16 @@
 use crate::cluster::{Answer, Cluster, wait_for};
 use crate::standin::EndpointAccess;
 
-/// Accepted by the leader that is succeeded.
+/// Job accepted by the first leader.
 const OLD_JOB: &str = "/now/00000000000000d1";
-/// Accepted by the leader after it.
+/// Job accepted by the second leader.
 const NEW_JOB: &str = "/now/00000000000000d2";
-/// Questions in a row, each of which has to be answered rightly.
+/// Number of successive requests, each of which has to be answered correctly.
 const REQUESTS: usize = 3;
 
-/// Three entries, each with a door of the store, and a worker that begins nothing; the first leader is cut off and the
-/// second has accepted a job that the first does not know.
+/// Three entries, each with its own endpoint of the store, and a worker that starts nothing. The first
+/// leader is cut off from the store, and the second leader has accepted a job that the first one has not
+/// seen.
 struct DeposedLeader {
     cluster: Cluster,
     first: usize,
@@ -36,24 +37,25 @@
         Self { cluster, first }
     }
 
-    /// Asks the entry of the first leader.
-    async fn ask(&self, method: Method, path: &str) -> Answer {
+    /// Sends a request to the entry that was the first leader.
+    async fn request(&self, method: Method, path: &str) -> Answer {
         self.cluster.call(self.first, method, path, &Value::Null).await.unwrap()
     }
 
-    /// Waits until it does not count without the later job, which it may for two seconds.
+    /// Waits until the first leader no longer returns a count without the new job. It may do so for two
+    /// seconds.
     async fn wait_until_count_is_current(&self) {
         let count_is_current = async || {
-            let answer = self.ask(Method::GET, "/now/").await;
+            let answer = self.request(Method::GET, "/now/").await;
             answer.status == StatusCode::SERVICE_UNAVAILABLE || answer.body["pending"] == json!(2)
         };
-        wait_for("no old count", count_is_current).await;
+        wait_for("the end of outdated counts", count_is_current).await;
     }
 
     async fn expect_new_job_unknown(&self) {
         for _ in 0..REQUESTS {
             for method in [Method::GET, Method::DELETE] {
-                let answer = self.ask(method.clone(), NEW_JOB).await;
+                let answer = self.request(method.clone(), NEW_JOB).await;
                 expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE), "{method}");
                 expect_that!(answer.retry_after, some(eq("1")), "{method}");
             }
@@ -71,7 +73,8 @@
     wait_for("a job to be accepted", accepted).await;
 }
 
-// It went on leading for as long as no worker told it of the next: 410 for its jobs, and a count without them.
+// Guards against wrong answers of a deposed leader: it went on leading until a worker refused its epoch,
+// answered 410 for jobs of its successor and returned a count without them.
 #[gtest]
 #[tokio::test]
 async fn a_leader_cut_off_from_the_store_answers_503_for_newer_jobs() {
@@ -79,16 +82,17 @@
     deposed.expect_new_job_unknown().await;
     deposed.wait_until_count_is_current().await;
     for _ in 0..REQUESTS {
-        let answer = deposed.ask(Method::GET, "/now/").await;
+        let answer = deposed.request(Method::GET, "/now/").await;
         expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
-        // What it has accepted it tells all the same.
-        let known = deposed.ask(Method::GET, OLD_JOB).await;
+        // It still answers for the job that it has accepted.
+        let known = deposed.request(Method::GET, OLD_JOB).await;
         expect_that!(known.body["state"], eq(&json!("queued")));
     }
 }
 
-// It registered anew as its machine was let in again, while its reads were still turned away: the renewals of the new
-// lease passed for renewals of the one that it was elected under.
+// Guards against the same answers after the deposed leader has registered again, while the store still
+// refuses its reads: renewals of its new lease were treated as renewals of the lease that it was elected
+// under.
 #[gtest]
 #[tokio::test]
 async fn a_leader_that_registers_again_answers_503_for_newer_jobs() {
@@ -97,13 +101,14 @@
     cluster.platform.set_endpoint_access(*first, EndpointAccess::WriteOnly);
     let key = format!("m/entry/{}", cluster.entries[*first].name);
     let registered = async || cluster.platform.state.value(&key).is_some();
-    wait_for("the first leader to register anew", registered).await;
+    wait_for("the first leader to register again", registered).await;
     deposed.expect_new_job_unknown().await;
     deposed.wait_until_count_is_current().await;
     deposed.expect_new_job_unknown().await;
-    // Once it can read again, its callers are served by the second leader.
+    // Once the entry can read the store again, its callers are served by the second leader.
     cluster.platform.set_endpoint_access(*first, EndpointAccess::Open);
     cluster.wait_state(*first, NEW_JOB, "queued").await;
-    let both_counted = async || deposed.ask(Method::GET, "/now/").await.body["pending"] == json!(2);
+    let both_counted =
+        async || deposed.request(Method::GET, "/now/").await.body["pending"] == json!(2);
     wait_for("both jobs to be counted", both_counted).await;
 }
--- a/tests/platform/inputs.rs
+++ b/tests/platform/inputs.rs
@@ -1,4 +1,4 @@
-//! Requests that no proper caller sends: each is refused clearly, and the next one is served.
+//! Malformed and unusual requests: each gets the right answer, and the next request is served.
 
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -13,40 +13,40 @@
 
 use crate::cluster::Cluster;
 
-/// Longest wait for an answer or the end of a connection; an entry's own bounds are three seconds.
+/// Longest wait for an answer or the end of a connection. The entry's own timeouts are three seconds.
 const ANSWER_TIME: Duration = Duration::from_secs(8);
-/// Largest answer to a refused request, in bytes: some lines of text.
+/// Largest answer to a refused request, in bytes. It is a few lines of text.
 const MAX_ANSWER_BYTES: usize = 4_096;
 /// Largest body that the configuration allows, in bytes.
 const MAX_BODY_BYTES: usize = 60_000;
-/// A job that is sent behind what is wrong and must never be taken for a request.
+/// Job in a request sent after a malformed one on the same connection. It must never be accepted.
 const SMUGGLED_JOB: &str = "00000000000000ff";
 
-/// What becomes of the connection.
+/// What happens to the connection after the request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum RowEnding {
-    /// It stays open, and its next request is served.
+    /// It stays open, and the next request on it is served.
     Open,
-    /// It is closed, and what follows on it is never read as a request.
+    /// The entry closes it, and what follows on it is not read as a request.
     Closed,
-    /// It is closed though nothing follows.
+    /// The entry closes it although nothing follows.
     ClosedByEntry,
-    /// The caller ends it without having sent all.
+    /// The caller closes it before it has sent the whole request.
     CallerLeaves,
 }
 
-/// One wrong, or odd, request.
+/// A malformed or unusual request.
 struct InputRow {
     name: &'static str,
     sent: Vec<u8>,
-    /// The answer's status; `None` where there is none, or nobody to take it.
+    /// Status of the answer, or `None` if there is no answer or the caller has left.
     status: Option<u16>,
     ending: RowEnding,
-    /// Pause between two bytes.
+    /// Interval between two bytes.
     byte_interval: Duration,
 }
 
-/// What came back on a connection.
+/// What was received on a connection.
 #[derive(Debug, Default)]
 struct RowReply {
     statuses: Vec<u16>,
@@ -64,20 +64,20 @@
     }
 }
 
-/// A request with a job whose id is the hexadecimal number of its row.
-fn post_with(id: &str, headers: &str, body: &str) -> String {
+/// A request that submits a job under an id.
+fn post_with_headers(id: &str, headers: &str, body: &str) -> String {
     format!("POST /now/{id} HTTP/1.1\r\nHost: jobs.example\r\n{headers}\r\n{body}")
 }
 
 fn post(id: &str, body: &str) -> String {
-    post_with(id, &format!("Content-Length: {}\r\n", body.len()), body)
+    post_with_headers(id, &format!("Content-Length: {}\r\n", body.len()), body)
 }
 
-fn ask(method: &str, target: &str) -> String {
+fn bodiless_request(method: &str, target: &str) -> String {
     format!("{method} {target} HTTP/1.1\r\nHost: jobs.example\r\n\r\n")
 }
 
-/// A job that is done in a moment.
+/// A valid job that takes a few milliseconds.
 fn good_job() -> String {
     job(&json!([{"count": 1, "millicpu": 100, "mem_mb": 10, "estimated_ms": 5}]))
 }
@@ -86,7 +86,7 @@
     json!({"spec": "5", "steps": steps}).to_string()
 }
 
-fn repeated(count: u64, first: u64, interval: u64) -> String {
+fn repeated_job(count: u64, first: u64, interval: u64) -> String {
     let steps = [json!({"count": 1, "millicpu": 1_000, "mem_mb": 10})];
     let job = json!({
         "spec": "5", "steps": steps, "repeat_count": count, "first_ms": first,
@@ -95,8 +95,8 @@
     job.to_string()
 }
 
-/// A chain of steps.
-fn chain(steps: usize, estimate: &str) -> String {
+/// A job with a chain of steps.
+fn chain_job(steps: usize, estimate: &str) -> String {
     let mut text = format!("{{\"steps\":[{{\"count\":1,\"estimated_ms\":{estimate}}}");
     for before in 0..steps - 1 {
         write!(text, ",{{\"count\":1,\"estimated_ms\":{estimate},\"after\":[{before}]}}").unwrap();
@@ -104,14 +104,15 @@
     text + "]}"
 }
 
-/// What follows on a connection that stays open: where a body in chunks begins shows that it is in step.
-fn next_request() -> String {
+/// The next request on a connection that stays open. Its chunked body is accepted only if the entry has
+/// read the previous request to its end and no further.
+fn follow_up_request() -> String {
     let good = good_job();
     let chunks = format!("{:x}\r\n{good}\r\n0\r\n\r\n", good.len());
-    post_with("00000000000000fe", "Transfer-Encoding: chunked\r\n", &chunks)
+    post_with_headers("00000000000000fe", "Transfer-Encoding: chunked\r\n", &chunks)
 }
 
-/// Requests that break the rules of HTTP, or that come to no end.
+/// Requests that violate HTTP or never end.
 fn framing_rows() -> Vec<InputRow> {
     use RowEnding::{Closed, ClosedByEntry};
     let good = good_job();
@@ -125,85 +126,89 @@
     let mut rows = vec![
         row(
             "a body announced over the limit",
-            post_with("0000000000000101", "Content-Length: 60001\r\n", ""),
+            post_with_headers("0000000000000101", "Content-Length: 60001\r\n", ""),
             413,
             Closed,
         ),
         row(
-            "a length beyond all numbers",
-            post_with("0000000000000102", "Content-Length: 99999999999999999999\r\n", ""),
+            "a length that overflows an integer",
+            post_with_headers("0000000000000102", "Content-Length: 99999999999999999999\r\n", ""),
             400,
             Closed,
         ),
         row(
             "chunks over the limit",
-            post_with("0000000000000103", coding, &format!("ea61\r\n{large}\r\n0\r\n\r\n")),
+            post_with_headers("0000000000000103", coding, &format!("ea61\r\n{large}\r\n0\r\n\r\n")),
             413,
             Closed,
         ),
         row(
             "a length, then chunks",
-            post_with("0000000000000104", &format!("{length}{coding}"), &chunked),
+            post_with_headers("0000000000000104", &format!("{length}{coding}"), &chunked),
             400,
             Closed,
         ),
         row(
             "chunks, then a length",
-            post_with("0000000000000105", &format!("{coding}{length}"), &chunked),
+            post_with_headers("0000000000000105", &format!("{coding}{length}"), &chunked),
             400,
             Closed,
         ),
         row(
             "a length that ends before the chunks",
-            post_with("0000000000000106", &format!("Content-Length: 5\r\n{coding}"), "0\r\n\r\n"),
+            post_with_headers(
+                "0000000000000106",
+                &format!("Content-Length: 5\r\n{coding}"),
+                "0\r\n\r\n",
+            ),
             400,
             Closed,
         ),
         row(
             "two lengths",
-            post_with("0000000000000107", &format!("Content-Length: 5\r\n{length}"), &good),
+            post_with_headers("0000000000000107", &format!("Content-Length: 5\r\n{length}"), &good),
             400,
             Closed,
         ),
         row(
             "a signed length",
-            post_with("0000000000000108", "Content-Length: +5\r\n", "{}   "),
+            post_with_headers("0000000000000108", "Content-Length: +5\r\n", "{}   "),
             400,
             Closed,
         ),
         row(
             "a list of lengths",
-            post_with("0000000000000109", "Content-Length: 5, 5\r\n", "{}   "),
+            post_with_headers("0000000000000109", "Content-Length: 5, 5\r\n", "{}   "),
             400,
             Closed,
         ),
         row(
             "a bad chunk",
-            post_with("000000000000010a", coding, "zz\r\n{}\r\n0\r\n\r\n"),
+            post_with_headers("000000000000010a", coding, "zz\r\n{}\r\n0\r\n\r\n"),
             400,
             Closed,
         ),
         row(
             "a chunk without its end",
-            post_with("000000000000010b", coding, "2\r\n{}{}\r\n0\r\n\r\n"),
+            post_with_headers("000000000000010b", coding, "2\r\n{}{}\r\n0\r\n\r\n"),
             400,
             Closed,
         ),
         row(
-            "a chunk beyond all numbers",
-            post_with("000000000000010c", coding, "fffffffffffffffff\r\n{}"),
+            "a chunk size that overflows an integer",
+            post_with_headers("000000000000010c", coding, "fffffffffffffffff\r\n{}"),
             400,
             Closed,
         ),
         row(
             "an unknown coding",
-            post_with("000000000000010d", "Transfer-Encoding: gzip\r\n", &good),
+            post_with_headers("000000000000010d", "Transfer-Encoding: gzip\r\n", &good),
             400,
             Closed,
         ),
         row(
             "chunks inside another coding",
-            post_with("000000000000010e", "Transfer-Encoding: chunked, gzip\r\n", &chunked),
+            post_with_headers("000000000000010e", "Transfer-Encoding: chunked, gzip\r\n", &chunked),
             400,
             Closed,
         ),
@@ -222,39 +227,44 @@
             400,
             Closed,
         ),
-        row("a host that is none", "GET /now/ HTTP/1.1\r\nHost: jobs example\r\n\r\n", 400, Closed),
-        row("a target of another host", ask("GET", "http://other.example/now/"), 400, Closed),
+        row("an invalid host", "GET /now/ HTTP/1.1\r\nHost: jobs example\r\n\r\n", 400, Closed),
+        row(
+            "a target of another host",
+            bodiless_request("GET", "http://other.example/now/"),
+            400,
+            Closed,
+        ),
         row(
-            "a space before a colon",
+            "a space before a header's colon",
             "GET /now/ HTTP/1.1\r\nHost : jobs.example\r\n\r\n",
             400,
             Closed,
         ),
         row(
-            "a folded line",
+            "a folded header",
             "GET /now/ HTTP/1.1\r\nHost: jobs.example\r\nA: b\r\n c\r\n\r\n",
             400,
             Closed,
         ),
         row(
-            "a zero byte in a line",
+            "a zero byte in a header",
             "GET /now/ HTTP/1.1\r\nHost: jobs.example\r\nA: b\0c\r\n\r\n",
             400,
             Closed,
         ),
-        row("no request at all", "\x16\x03\x01\x02\0\x01\0\x01\r\n\r\n", 400, Closed),
+        row("bytes that are not HTTP", "\x16\x03\x01\x02\0\x01\0\x01\r\n\r\n", 400, Closed),
         row("another version", "GET /now/ HTTP/3.0\r\nHost: jobs.example\r\n\r\n", 400, Closed),
         row(
-            "a huge line",
-            post_with("0000000000000110", &format!("A: {long}\r\n"), ""),
+            "a huge header",
+            post_with_headers("0000000000000110", &format!("A: {long}\r\n"), ""),
             431,
             Closed,
         ),
-        row("a huge target", ask("GET", &format!("/now/{long}")), 431, Closed),
-        row("many headers", post_with("0000000000000111", &headers(200), ""), 431, Closed),
+        row("a huge target", bodiless_request("GET", &format!("/now/{long}")), 431, Closed),
+        row("many headers", post_with_headers("0000000000000111", &headers(200), ""), 431, Closed),
         row(
             "a body that stops",
-            post_with("0000000000000112", "Content-Length: 500\r\n", "{\"spec\":"),
+            post_with_headers("0000000000000112", "Content-Length: 500\r\n", "{\"spec\":"),
             408,
             ClosedByEntry,
         ),
@@ -266,9 +276,9 @@
         ending: ClosedByEntry,
         byte_interval: Duration::from_millis(byte_interval),
     };
-    rows.push(unanswered("a connection that says nothing", "", 0));
+    rows.push(unanswered("a connection without any byte", "", 0));
     rows.push(unanswered("a head that stops", "GET /now/ HTTP/1.1\r\nHost: jobs", 0));
-    rows.push(unanswered("a slow head", &ask("GET", "/now/"), 200));
+    rows.push(unanswered("a slow head", &bodiless_request("GET", "/now/"), 200));
     rows.push(InputRow {
         ending: Closed,
         ..unanswered("the preface of HTTP/2", "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 0)
@@ -276,50 +286,55 @@
     rows.push(InputRow {
         ending: RowEnding::CallerLeaves,
         ..unanswered(
-            "a caller that goes away",
-            &post_with("0000000000000113", "Content-Length: 500\r\n", &good),
+            "a caller that closes the connection",
+            &post_with_headers("0000000000000113", "Content-Length: 500\r\n", &good),
             0,
         )
     });
     rows
 }
 
-/// Requests whose line or header is wrong for a queue.
+/// Requests whose request line or headers are invalid or unusual for a queue.
 fn request_rows() -> Vec<InputRow> {
     use RowEnding::Open;
     let good = good_job();
     let length = format!("Content-Length: {}\r\n", good.len());
-    let timed = |name, id, time: &str, status| {
+    let with_timeout = |name, id, time: &str, status| {
         let headers = format!("{length}Deadline-Ms: {time}\r\n");
-        row(name, post_with(id, &headers, &good), status, Open)
+        row(name, post_with_headers(id, &headers, &good), status, Open)
     };
     vec![
-        timed("a time that is no number", "0000000000000201", "NaN", 400),
-        timed("a time without end", "0000000000000202", "inf", 400),
-        timed("a negative time", "0000000000000203", "-5", 400),
-        timed("a time in words", "0000000000000204", "soon", 400),
-        timed("a time beyond all clocks", "0000000000000205", "1e300", 200),
+        with_timeout("a timeout that is not a number", "0000000000000201", "NaN", 400),
+        with_timeout("an infinite timeout", "0000000000000202", "inf", 400),
+        with_timeout("a negative timeout", "0000000000000203", "-5", 400),
+        with_timeout("a timeout in words", "0000000000000204", "soon", 400),
+        with_timeout("a timeout beyond the largest integer", "0000000000000205", "1e300", 200),
         row("a short id", post("0205", &good), 400, Open),
         row("a long id", post("00000000000000206", &good), 400, Open),
-        row("an id that is none", post("000000000000020g", &good), 400, Open),
+        row("an id that is not hexadecimal", post("000000000000020g", &good), 400, Open),
         row("an id with a step's number", post("0000000000207.0", &good), 400, Open),
         row("an encoded id", post("%300000000000000207", &good), 400, Open),
         row(
             "an id with a field behind it",
-            ask("GET", "/now/0000000000000101&allow_stale=1"),
+            bodiless_request("GET", "/now/0000000000000101&allow_stale=1"),
             410,
             Open,
         ),
-        row("a state of no id", ask("GET", "/now/a/b/%2e%2e"), 410, Open),
-        row("cancelling no id", ask("DELETE", "/now/x"), 410, Open),
-        row("bytes that are no text in a target", ask("GET", "/now/%ff%fe"), 410, Open),
-        row("no queue", ask("GET", "/%6eow/"), 404, Open),
-        row("another method", ask("PUT", "/now/0000000000000208"), 405, Open),
-        row("a method of no server", ask("BREW", "/now/0000000000000208"), 405, Open),
+        row("a state of an invalid id", bodiless_request("GET", "/now/a/b/%2e%2e"), 410, Open),
+        row("cancelling an invalid id", bodiless_request("DELETE", "/now/x"), 410, Open),
+        row("a target that is not UTF-8", bodiless_request("GET", "/now/%ff%fe"), 410, Open),
+        row("an encoded queue name", bodiless_request("GET", "/%6eow/"), 404, Open),
+        row("another method", bodiless_request("PUT", "/now/0000000000000208"), 405, Open),
+        row("an unknown method", bodiless_request("BREW", "/now/0000000000000208"), 405, Open),
         row("a POST without an id", post("", &good), 405, Open),
         row("an id in upper case", post("00000000000002AB", &good), 200, Open),
-        row("a state in upper case", ask("GET", "/now/00000000000002AB"), 200, Open),
-        row("a state in the other case", ask("GET", "/now/00000000000002ab"), 410, Open),
+        row("a state in upper case", bodiless_request("GET", "/now/00000000000002AB"), 200, Open),
+        row(
+            "a state in the other case",
+            bodiless_request("GET", "/now/00000000000002ab"),
+            410,
+            Open,
+        ),
         row(
             "a target with its host",
             format!(
@@ -330,13 +345,17 @@
         ),
         row(
             "an announced body",
-            post_with("000000000000020a", &format!("Expect: 100-continue\r\n{length}"), &good),
+            post_with_headers(
+                "000000000000020a",
+                &format!("Expect: 100-continue\r\n{length}"),
+                &good,
+            ),
             200,
             Open,
         ),
         row(
             "a body in chunks",
-            post_with(
+            post_with_headers(
                 "000000000000020b",
                 "Transfer-Encoding: chunked\r\n",
                 &format!("{:x}\r\n{good}\r\n0\r\n\r\n", good.len()),
@@ -346,29 +365,29 @@
         ),
         row(
             "the same length twice",
-            post_with("000000000000020c", &format!("{length}{length}"), &good),
+            post_with_headers("000000000000020c", &format!("{length}{length}"), &good),
             200,
             Open,
         ),
     ]
 }
 
-/// Jobs that cannot be.
+/// Invalid jobs.
 fn refused_rows() -> Vec<InputRow> {
     let deep = "[".repeat(5_000);
     let step = |fields: &str| format!("{{\"steps\":[{{\"count\":1{fields}}}]}}");
     let jobs = vec![
         ("no body", "0000000000000301", String::new()),
-        ("no JSON", "0000000000000302", "steps=1".into()),
-        ("JSON and more", "0000000000000303", good_job() + "}"),
-        ("no object", "0000000000000304", "null".into()),
+        ("a body that is not JSON", "0000000000000302", "steps=1".into()),
+        ("JSON with trailing bytes", "0000000000000303", good_job() + "}"),
+        ("JSON that is not an object", "0000000000000304", "null".into()),
         ("a deep array", "0000000000000305", format!("{{\"steps\":{deep}")),
         ("a deep flag", "0000000000000306", step(&format!(",\"gang\":{deep}"))),
         ("a field twice", "0000000000000307", "{\"steps\":[],\"steps\":[]}".into()),
-        ("a number that is none", "0000000000000308", step(",\"estimated_ms\":NaN")),
+        ("a number that is NaN", "0000000000000308", step(",\"estimated_ms\":NaN")),
         ("a number in a string", "0000000000000309", step(",\"millicpu\":\"100\"")),
         (
-            "a long text for a number",
+            "a long text in place of a number",
             "000000000000031e",
             step(&format!(",\"millicpu\":\"{}\"", "x".repeat(50_000))),
         ),
@@ -377,7 +396,7 @@
         ("no tasks", "000000000000030c", "{\"steps\":[{\"count\":0}]}".into()),
         ("four billion tasks", "000000000000030d", "{\"steps\":[{\"count\":4294967295}]}".into()),
         (
-            "more tasks than numbers",
+            "a task count that overflows",
             "000000000000030e",
             "{\"steps\":[{\"count\":4294967296}]}".into(),
         ),
@@ -389,7 +408,7 @@
             "0000000000000312",
             job(&json!([{"count": 1, "after": [1]}, {"count": 1}])),
         ),
-        ("a step after none", "0000000000000313", step(",\"after\":[4294967295]")),
+        ("a step after a missing one", "0000000000000313", step(",\"after\":[4294967295]")),
         (
             "a long payload",
             "0000000000000315",
@@ -397,11 +416,11 @@
         ),
         ("a negative duration", "0000000000000316", step(",\"estimated_ms\":-1")),
         ("an endless duration", "0000000000000317", step(",\"estimated_ms\":1e300")),
-        ("a chain of endless durations", "0000000000000318", chain(256, "1e99")),
-        ("billions of occurrences", "0000000000000319", repeated(4_294_967_295, 0, 0)),
-        ("millions of occurrences", "000000000000031a", repeated(2_000_000, 1, 1)),
-        ("an endless interval", "000000000000031b", repeated(3, 1, u64::MAX)),
-        ("a first time that never comes", "000000000000031c", repeated(1, u64::MAX, 1)),
+        ("a chain of endless durations", "0000000000000318", chain_job(256, "1e99")),
+        ("billions of occurrences", "0000000000000319", repeated_job(4_294_967_295, 0, 0)),
+        ("millions of occurrences", "000000000000031a", repeated_job(2_000_000, 1, 1)),
+        ("an endless interval", "000000000000031b", repeated_job(3, 1, u64::MAX)),
+        ("a first time out of range", "000000000000031c", repeated_job(1, u64::MAX, 1)),
         (
             "many steps of many tasks",
             "000000000000031d",
@@ -414,7 +433,7 @@
     jobs.into_iter().map(refused).collect()
 }
 
-/// Odd jobs that may be sent; they are cancelled at the end.
+/// Unusual but valid jobs. The test cancels those that would not end soon.
 fn accepted_rows() -> Vec<InputRow> {
     let wide = json!({"count": 10_000, "millicpu": 1_000, "mem_mb": 10, "estimated_ms": 1e9});
     let large = json!([{"count": 3, "millicpu": 4_294_967_295u32, "mem_mb": 4_294_967_295u32}]);
@@ -430,7 +449,7 @@
             "0000000000000407",
             job(&json!([{"count": 10_000}])),
         ),
-        ("thousands of occurrences at once", "0000000000000404", repeated(15_000, 1, 0)),
+        ("thousands of occurrences at once", "0000000000000404", repeated_job(15_000, 1, 0)),
         (
             "an unknown field with deep content",
             "0000000000000405",
@@ -452,11 +471,11 @@
     jobs.into_iter().map(accepted).collect()
 }
 
-/// Reads one whole answer into the reply, or notes the connection's end.
-async fn read_answer(stream: &mut TcpStream, rest: &mut Vec<u8>, reply: &mut RowReply) {
+/// Reads one complete answer into the reply, or records the end of the connection.
+async fn read_answer(stream: &mut TcpStream, unread: &mut Vec<u8>, reply: &mut RowReply) {
     loop {
-        if let Some((status, end)) = parse_answer(rest) {
-            rest.drain(..end);
+        if let Some((status, end)) = parse_answer(unread) {
+            unread.drain(..end);
             if status >= 200 {
                 reply.statuses.push(status);
                 return;
@@ -471,14 +490,14 @@
             }
             Ok(Ok(count)) => {
                 reply.bytes += count;
-                rest.extend(&buffer[..count]);
+                unread.extend(&buffer[..count]);
             }
             Err(_) => return,
         }
     }
 }
 
-/// Status and length of the answer that some bytes begin with, once it is whole.
+/// Returns status and length of the answer at the start of some bytes, once it is complete.
 fn parse_answer(bytes: &[u8]) -> Option<(u16, usize)> {
     let head = bytes.windows(4).position(|end| end == b"\r\n\r\n")? + 4;
     let text = String::from_utf8_lossy(&bytes[..head]).to_lowercase();
@@ -488,7 +507,7 @@
     (bytes.len() >= head + length).then_some((status, head + length))
 }
 
-async fn send(stream: &mut TcpStream, row: &InputRow) {
+async fn send_row(stream: &mut TcpStream, row: &InputRow) {
     if row.byte_interval.is_zero() {
         let _ = stream.write_all(&row.sent).await;
         return;
@@ -501,16 +520,16 @@
     }
 }
 
-/// Plays one row on a connection of its own.
+/// Sends one row on its own connection and returns what was received.
 async fn exchange(address: SocketAddr, row: &InputRow) -> RowReply {
     let mut stream = TcpStream::connect(address).await.unwrap();
-    let (mut reply, mut rest) = (RowReply::default(), Vec::new());
-    send(&mut stream, row).await;
+    let (mut reply, mut unread) = (RowReply::default(), Vec::new());
+    send_row(&mut stream, row).await;
     match row.ending {
         RowEnding::Open => {
-            read_answer(&mut stream, &mut rest, &mut reply).await;
-            let _ = stream.write_all(next_request().as_bytes()).await;
-            read_answer(&mut stream, &mut rest, &mut reply).await;
+            read_answer(&mut stream, &mut unread, &mut reply).await;
+            let _ = stream.write_all(follow_up_request().as_bytes()).await;
+            read_answer(&mut stream, &mut unread, &mut reply).await;
         }
         RowEnding::Closed | RowEnding::ClosedByEntry => {
             if row.ending == RowEnding::Closed {
@@ -518,7 +537,7 @@
             }
             while !reply.closed {
                 let before = reply.bytes;
-                read_answer(&mut stream, &mut rest, &mut reply).await;
+                read_answer(&mut stream, &mut unread, &mut reply).await;
                 if reply.bytes == before {
                     break;
                 }
@@ -526,14 +545,14 @@
         }
         RowEnding::CallerLeaves => {
             let _ = stream.shutdown().await;
-            read_answer(&mut stream, &mut rest, &mut reply).await;
+            read_answer(&mut stream, &mut unread, &mut reply).await;
             reply.statuses.clear();
         }
     }
     reply
 }
 
-/// What is wrong with an answer.
+/// Returns how a reply differs from what the row expects.
 fn row_faults(row: &InputRow, reply: &RowReply) -> Vec<String> {
     let mut expected: Vec<u16> = row.status.into_iter().collect();
     if row.ending == RowEnding::Open {
@@ -544,7 +563,7 @@
         row_faults.push(format!("answers {:?} instead of {expected:?}", reply.statuses));
     }
     if row.status.is_none() && row.ending == RowEnding::Closed && reply.bytes > 0 {
-        row_faults.push(format!("{} bytes where nothing is to be answered", reply.bytes));
+        row_faults.push(format!("{} bytes where no answer is expected", reply.bytes));
     }
     if matches!(row.ending, RowEnding::Closed | RowEnding::ClosedByEntry) && !reply.closed {
         row_faults.push("the connection stays open".to_owned());
@@ -555,8 +574,8 @@
     row_faults
 }
 
-/// A proper job on a connection of its own is taken and done.
-async fn next_is_served(cluster: &Cluster, number: usize) -> Option<String> {
+/// Submits a valid job on its own connection. Returns what went wrong if it was not accepted and completed.
+async fn check_next_job(cluster: &Cluster, number: usize) -> Option<String> {
     let path = format!("/now/{:016x}", 0xf000 + number);
     let body: Value = serde_json::from_str(&good_job()).unwrap();
     let answer = cluster.call(0, Method::POST, &path, &body).await;
@@ -576,10 +595,10 @@
     done.await.is_err().then(|| "the next job was not done".to_owned())
 }
 
-/// Requests came in over the open network that no proper caller sends: lengths that contradict each
-/// other, bodies and heads without end, numbers that no clock knows, jobs that no cluster could do.
-/// Some were taken for proper ones, one ended the leader, and some kept it busy for seconds. Each
-/// has a clear refusal, what follows it on its connection is no request, and the next is served.
+/// Guards against malformed input from an open network: contradicting lengths, heads and bodies without end,
+/// times out of range, jobs that no cluster can run. Some such requests were accepted, one made the leader
+/// exit, and some kept it busy for seconds. Each is refused, what follows it on its connection is not read as
+/// a request, and the next request is served.
 #[gtest]
 #[tokio::test]
 async fn bad_input_is_refused_and_the_next_request_is_served() {
@@ -592,7 +611,7 @@
     for (number, row) in tables.into_iter().flatten().enumerate() {
         let reply = exchange(address, &row).await;
         let mut row_faults = row_faults(&row, &reply);
-        row_faults.extend(next_is_served(&cluster, number).await);
+        row_faults.extend(check_next_job(&cluster, number).await);
         found.extend(row_faults.into_iter().map(|fault| format!("{}: {fault}", row.name)));
     }
     for id in ["0401", "0402", "0403", "0404"] {
@@ -603,7 +622,7 @@
     let starts = cluster.platform.state.starts.lock().unwrap().clone();
     let ran = |prefix: &str| starts.keys().filter(|task| task.starts_with(prefix)).count();
     for prefix in [SMUGGLED_JOB, "00000000000001", "00000000000003"] {
-        expect_that!(ran(prefix), eq(0), "tasks of {prefix} that were begun");
+        expect_that!(ran(prefix), eq(0), "started tasks of {prefix}");
     }
     expect_that!(found, is_empty());
 }
--- a/tests/platform/jobs.rs
+++ b/tests/platform/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs through the running program, while processes and the store fail.
+//! Jobs through entry processes, while processes and the store fail.
 
 use std::process::Command;
 
@@ -108,26 +108,27 @@
     expect_that!(cluster.get_url(&url).await.map(|a| a.status), some(eq(StatusCode::OK)));
 }
 
-// A task that crashed every worker that started it was started again for good, with all that ran beside it lost each time.
+// Guards against a task that crashes every worker that starts it: it was started again without limit, and
+// the other runs on the worker were lost each time.
 #[gtest]
 #[tokio::test]
 async fn a_task_that_crashes_its_workers_ends_its_job_and_no_other() {
     let cluster = Cluster::start(12, 2, 4, &["now"]).await;
-    let crashing_tasks = "00000000000000a1.0.0.1".to_owned();
-    cluster.platform.state.crashing_tasks.lock().unwrap().insert(crashing_tasks.clone());
+    let crashing_task = "00000000000000a1.0.0.1".to_owned();
+    cluster.platform.state.crashing_tasks.lock().unwrap().insert(crashing_task.clone());
     for path in [FIRST, SECOND] {
         let answer = cluster.call(0, Method::POST, path, &job(400, 3)).await.unwrap();
         expect_that!(answer.status, eq(StatusCode::OK), "{path}");
     }
     cluster.wait_state(1, FIRST, "failed").await;
     cluster.wait_state(0, SECOND, "completed").await;
-    let starts = cluster.platform.state.starts.lock().unwrap()[&crashing_tasks];
+    let starts = cluster.platform.state.starts.lock().unwrap()[&crashing_task];
     expect_that!(starts, le(5));
     expect_that!(violations(&cluster), is_empty());
 }
 
-// Ends of a worker that had started again under its id were not read and acknowledged all the same, and its lists were taken
-// for old ones.
+// Guards against mixing up two instances of a worker: after a restart under the same id, the ends of the new
+// instance were acknowledged without being read, and its lists were treated as outdated.
 #[gtest]
 #[tokio::test]
 async fn a_worker_that_restarts_under_its_id_runs_each_task_once() {
@@ -181,11 +182,11 @@
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     expect_that!(answer.retry_after, some(eq("1")));
     cluster.platform.set_faults(StoreFaults::default());
-    let served = async || {
+    let is_accepted = async || {
         let answer = cluster.call(1, Method::POST, SECOND, &job(50, 1)).await;
         answer.is_some_and(|answer| answer.status == StatusCode::OK)
     };
-    wait_for("the store to take jobs again", served).await;
+    wait_for("the store to take jobs again", is_accepted).await;
     cluster.wait_state(0, SECOND, "completed").await;
     expect_that!(starts(&cluster, FIRST), is_empty());
 }
@@ -207,11 +208,11 @@
     let cluster = Cluster::start(8, 3, 2, &["now"]).await;
     let leader = cluster.leading().await;
     let name = cluster.entries[leader].name.clone();
-    let replaced = async || {
+    let has_new_leader = async || {
         cluster.slow_down(leader).await;
         cluster.platform.leader("m/leader").is_some_and(|leader| leader != name)
     };
-    wait_for("another leader", replaced).await;
+    wait_for("another leader", has_new_leader).await;
     let other = (leader + 1) % 3;
     let answer = cluster.call(other, Method::POST, FIRST, &job(100, 2)).await.unwrap();
     expect_that!(answer.status, eq(StatusCode::OK));
--- a/tests/platform/registrations.rs
+++ b/tests/platform/registrations.rs
@@ -1,4 +1,4 @@
-//! Values in the store that another writer has left: they stop nothing and nobody.
+//! Values in the store that another writer has stored: they must not disturb valid workers and jobs.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -14,10 +14,10 @@
 
 const FIRST: &str = "/now/00000000000000b1";
 const SECOND: &str = "/now/00000000000000b2";
-/// Name of a worker's registration.
+/// Key of a worker's registration.
 const WORKER: &str = "servers/w0";
 
-/// Tasks that run for `millis`.
+/// A job of one step whose tasks run for `millis`.
 fn job(millis: u32, tasks: u32) -> Value {
     json!({
         "spec": millis.to_string(),
@@ -36,8 +36,8 @@
     expect_that!(answer.status, eq(StatusCode::OK), "{path}");
 }
 
-/// An address where nothing answers, and how often it was connected to.
-async fn unused_address(cluster: &Cluster) -> (String, Arc<AtomicU32>) {
+/// Opens an address that never answers. Returns it with the count of connections to it.
+async fn open_decoy(cluster: &Cluster) -> (String, Arc<AtomicU32>) {
     let listener = TcpListener::bind((cluster.platform.store.ip(), 0)).await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let connections = Arc::new(AtomicU32::new(0));
@@ -50,9 +50,9 @@
     (address, connections)
 }
 
-/// Entries in a state that nothing names, or without a failure domain, were called and given work, and
-/// one value that was not base64 kept every worker from being listed. None of them may be called, and
-/// those at the address of a good worker may not take it away.
+/// Guards against two faults: registrations with an unknown state or without a failure domain were accepted
+/// and got tasks, and one value that was not base64 kept all workers from being registered. No invalid
+/// registration may be called, and those with the address of a valid worker must not displace it.
 #[gtest]
 #[tokio::test]
 async fn foreign_registrations_are_ignored_and_valid_ones_stay_in_use() {
@@ -61,7 +61,7 @@
     let registration = state.value(WORKER).unwrap();
     submit(&cluster, FIRST, &job(2_000, 4)).await;
     cluster.wait_state(0, FIRST, "running").await;
-    let (unused, connections) = unused_address(&cluster).await;
+    let (decoy_address, connections) = open_decoy(&cluster).await;
     let changes = [
         ("state", json!("asleep")),
         ("zone", Value::Null),
@@ -72,41 +72,44 @@
         ("labels", json!({})),
     ];
     for (number, (field, value)) in changes.iter().enumerate() {
-        for (place, address) in [("here", &registration["address"]), ("there", &json!(unused))] {
-            let mut entry = registration.clone();
-            entry["address"] = address.clone();
-            entry[field] = value.clone();
-            state.put(&format!("servers/{place}-{number}"), &entry);
+        for (place, address) in
+            [("here", &registration["address"]), ("there", &json!(decoy_address))]
+        {
+            let mut foreign = registration.clone();
+            foreign["address"] = address.clone();
+            foreign[field] = value.clone();
+            state.put(&format!("servers/{place}-{number}"), &foreign);
         }
     }
     for key in ["servers/", "servers/a/b", "servers/a b&c"] {
-        let mut entry = registration.clone();
-        entry["address"] = json!(unused);
-        state.put(key, &entry);
+        let mut foreign = registration.clone();
+        foreign["address"] = json!(decoy_address);
+        state.put(key, &foreign);
     }
     sleep(Duration::from_millis(300)).await;
     state.put_raw("servers/0", json!("no base64!"));
     state.put_raw("servers/1", json!(7));
     state.put_bytes("servers/2", b"\xff\xfe\x00".to_vec());
-    // Whoever leads next reads the list from its start.
+    // The next leader reads the whole list.
     let leader = cluster.leading().await;
     let other = 1 - leader;
     cluster.kill(leader);
     cluster.wait_state(other, FIRST, "completed").await;
     expect_that!(starts(&cluster, FIRST), eq(&vec![1; 4]));
-    let served = async || {
+    let is_accepted = async || {
         let answer = cluster.call(other, Method::POST, SECOND, &job(100, 16)).await;
         answer.is_some_and(|answer| answer.status == StatusCode::OK)
     };
-    wait_for("another leader", served).await;
+    wait_for("another leader", is_accepted).await;
     cluster.wait_state(other, SECOND, "completed").await;
     expect_that!(starts(&cluster, SECOND), eq(&vec![1; 16]));
     expect_that!(connections.load(Ordering::Relaxed), eq(0));
     expect_that!(*state.violations.lock().unwrap(), is_empty());
 }
 
-/// A worker whose entry could no longer be read went on being given work until the list was read anew.
-/// It is given none, what runs there goes on, and it is used again when its entry is whole.
+/// Guards against placing tasks on a worker whose registration has become invalid: it got tasks until
+/// the list was read again. It gets no new tasks, its runs go on, and it is used again once its
+/// registration is valid.
 #[gtest]
 #[tokio::test]
 async fn a_worker_is_used_again_once_its_registration_is_valid_again() {
@@ -136,25 +139,25 @@
     expect_that!(starts(&cluster, FIRST), eq(&vec![1; 2]));
 }
 
-/// A job whose progress could not be read was taken for one that had not begun: the next leader ran all
-/// of it again.
+/// Guards against running a job twice: a job whose stored progress was unreadable was treated as not started,
+/// and the next leader ran all of it again.
 #[gtest]
 #[tokio::test]
 async fn a_job_whose_progress_is_unreadable_is_not_run_again() {
     let mut cluster = Cluster::start(42, 2, 1, &["now"]).await;
     submit(&cluster, FIRST, &job(50, 2)).await;
     cluster.wait_state(0, FIRST, "completed").await;
-    // The next poll tells the worker to forget the ends: only the store has them then.
+    // After the next poll the worker has forgotten the ends, and only the store has them.
     sleep(Duration::from_millis(2_000)).await;
     cluster.platform.state.put_bytes("p/00000000000000b1", b"no json".to_vec());
     let leader = cluster.leading().await;
     let other = 1 - leader;
     cluster.kill(leader);
-    let served = async || {
+    let is_accepted = async || {
         let answer = cluster.call(other, Method::POST, SECOND, &job(50, 2)).await;
         answer.is_some_and(|answer| answer.status == StatusCode::OK)
     };
-    wait_for("another leader", served).await;
+    wait_for("another leader", is_accepted).await;
     cluster.wait_state(other, SECOND, "completed").await;
     sleep(Duration::from_millis(1_500)).await;
     expect_that!(starts(&cluster, FIRST), eq(&vec![1; 2]));
--- a/tests/platform/shards.rs
+++ b/tests/platform/shards.rs
@@ -1,4 +1,4 @@
-//! Several leaders, with real processes in two failure domains.
+//! Several leaders, with entry processes in two failure domains.
 
 use googletest::prelude::*;
 use hyper::{Method, StatusCode};
@@ -6,7 +6,8 @@
 
 use crate::cluster::{Cluster, wait_for};
 
-/// Enough for two leaders: 110 a failure domain, where a leader of a quarter of a core carries 200.
+/// Enough workers for two leaders: 110 in each failure domain, while a leader on a quarter of a core can
+/// manage 200.
 const WORKERS: usize = 220;
 const JOBS: [&str; 5] = [
     "/now/00000000000000b1",
@@ -23,7 +24,7 @@
     }]})
 }
 
-/// Number of starts of each task of a job.
+/// Returns the number of starts of each task of a job.
 fn starts(cluster: &Cluster, job: &str) -> Vec<u32> {
     let starts = cluster.platform.state.starts.lock().unwrap();
     let id = job.rsplit('/').next().unwrap();
@@ -38,7 +39,7 @@
     cluster.call(entry, Method::POST, path, job).await.map(|answer| answer.status)
 }
 
-// Entries 0 and 2 are in domain a, 1 and 3 in b.
+// Entries 0 and 2 are in domain a, entries 1 and 3 in domain b.
 #[gtest]
 #[tokio::test]
 async fn two_leaders_serve_jobs_as_one() {
@@ -53,7 +54,7 @@
     for (entry, path) in [(1, JOBS[0]), (0, JOBS[1])] {
         cluster.wait_state(entry, path, "completed").await;
     }
-    // The same job handed in in the other domain is not run again.
+    // The same job is submitted in the other domain and is not run again.
     let again = submit(&cluster, 3, JOBS[0], &job(50, 4, false)).await;
     expect_that!(again, some(eq(StatusCode::OK)));
     let pending = cluster.call(2, Method::GET, "/now/", &Value::Null).await.unwrap();
@@ -63,7 +64,7 @@
         some(eq(StatusCode::GONE))
     );
 
-    // Wider than a shard: its tasks run in both, and end in both.
+    // A job that needs more workers than one shard has runs and is cancelled in both.
     let accepted = submit(&cluster, 0, JOBS[2], &job(600_000, 30, true)).await;
     expect_that!(accepted, some(eq(StatusCode::OK)));
     wait_for("all tasks of the wide job", async || starts(&cluster, JOBS[2]).len() == 30).await;
@@ -71,14 +72,14 @@
     expect_that!(ended, some(eq(StatusCode::OK)));
     cluster.wait_state(1, JOBS[2], "cancelled").await;
 
-    // Without the leader of its domain, an entry's jobs go to the other at once.
+    // While its domain has no leader, an entry sends jobs to the leader of the other domain at once.
     cluster.kill(leaders[1]);
-    let left = 4 - leaders[1];
-    let accepted = submit(&cluster, left, JOBS[3], &job(50, 4, false)).await;
+    let surviving = 4 - leaders[1];
+    let accepted = submit(&cluster, surviving, JOBS[3], &job(50, 4, false)).await;
     expect_that!(accepted, some(eq(StatusCode::OK)));
-    cluster.wait_state(left, JOBS[3], "completed").await;
-    expect_that!(cluster.leading_in("b").await, eq(left));
-    let accepted = submit(&cluster, left, JOBS[4], &job(50, 4, false)).await;
+    cluster.wait_state(surviving, JOBS[3], "completed").await;
+    expect_that!(cluster.leading_in("b").await, eq(surviving));
+    let accepted = submit(&cluster, surviving, JOBS[4], &job(50, 4, false)).await;
     expect_that!(accepted, some(eq(StatusCode::OK)));
     cluster.wait_state(0, JOBS[4], "completed").await;
     for path in [JOBS[0], JOBS[1], JOBS[3], JOBS[4]] {
--- a/tests/platform/standin.rs
+++ b/tests/platform/standin.rs
@@ -1,5 +1,5 @@
-//! A stand-in of the platform that speaks its protocol: the store with leases, transactions and
-//! watches, workers with fences and leases, and the service that gives placement advice.
+//! A stand-in of the platform that implements its protocol: the store with leases, transactions and
+//! watches, workers with fencing tokens and leases, and the placement advice service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -20,12 +20,13 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::sleep;
 
-/// How often a waiting call looks again.
+/// Interval at which a waiting call checks its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// How long after the start of a task that crashes it a worker goes, and how long it is away.
+/// Time from the start of a crashing task to the crash of its worker.
 const CRASH_DELAY: Duration = Duration::from_millis(10);
+/// How long a worker is down after a crash or before a restart.
 const DOWNTIME: Duration = Duration::from_millis(700);
-/// How long after its start a worker registers.
+/// Time from a worker's restart to its registration.
 const REGISTRATION_DELAY: Duration = Duration::from_millis(300);
 /// Longest lease of a worker, in milliseconds.
 const HOLD_MAX_MS: u64 = 6_000;
@@ -35,7 +36,7 @@
     revision: u64,
     items: BTreeMap<String, (Vec<u8>, u64, u64)>,
     events: Vec<(u64, Value)>,
-    /// Values that are given out as they stand here, in place of the encoded bytes.
+    /// Values that are returned as they are, in place of the encoded bytes.
     raw: BTreeMap<String, Value>,
     leases: BTreeMap<u64, (Duration, Instant)>,
 }
@@ -43,21 +44,21 @@
 /// Faults of the store.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StoreFaults {
-    /// Every call is answered 503, and nothing is done.
+    /// Whether every call is answered 503 and nothing is done.
     pub(crate) refuses: bool,
-    /// So many transactions are done and not answered.
+    /// Number of transactions that will be carried out but not answered.
     pub(crate) loses_answers: u32,
 }
 
-/// What the store answers at one of its doors.
+/// What the store answers at one of its additional endpoints.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) enum EndpointAccess {
-    /// Everything.
+    /// All calls.
     #[default]
     Open,
-    /// Changes and leases; reads and watches are answered 503.
+    /// Transactions and lease calls. Reads and watches are answered 503.
     WriteOnly,
-    /// Nothing: every call is answered 503.
+    /// No call: every call is answered 503.
     Closed,
 }
 
@@ -68,35 +69,35 @@
 
 struct WorkerState {
     id: String,
-    /// Number of its starts before this one.
+    /// Number of starts of the worker before this one.
     restarts: u32,
-    /// Whether it leaves calls unanswered.
+    /// Whether the worker leaves calls unanswered.
     down: bool,
-    begun: Instant,
-    /// Its start by the time of day, in milliseconds.
-    born: u64,
-    fence: u64,
+    started: Instant,
+    /// Wall-clock time of the start, in milliseconds.
+    instance_start: u64,
+    highest_token: u64,
     until_ms: u64,
     runs: BTreeMap<String, WorkerRun>,
     ended: Vec<Value>,
     last_end: u64,
-    closed: BTreeMap<String, u64>,
+    closed_runs: BTreeMap<String, u64>,
 }
 
-/// What the whole stand-in knows.
+/// State of the stand-in.
 pub(crate) struct PlatformState {
     store: Mutex<StoreState>,
     faults: Mutex<StoreFaults>,
-    /// Addresses of the store beside its first, by number.
+    /// Access at the additional endpoints of the store, by number.
     endpoints: Mutex<Vec<EndpointAccess>>,
     workers: Mutex<Vec<WorkerState>>,
     /// Workers that leave calls unanswered.
     silent: Mutex<BTreeSet<String>>,
-    /// Broken promises that a worker has seen.
+    /// Violated guarantees that workers have detected.
     pub(crate) violations: Mutex<Vec<String>>,
-    /// Starts of tasks, by task.
+    /// Number of starts, by task.
     pub(crate) starts: Mutex<BTreeMap<String, u32>>,
-    /// Tickets that were given.
+    /// Number of tickets issued.
     pub(crate) tickets: Mutex<u32>,
     /// Tasks that crash each worker that starts them.
     pub(crate) crashing_tasks: Mutex<BTreeSet<String>>,
@@ -115,8 +116,8 @@
 }
 
 impl Platform {
-    /// Starts the store, the advisor and workers on free ports of an address.
-    /// The workers take turns among failure domains.
+    /// Starts the store, the advisor and workers on free ports of an address. The workers are
+    /// distributed over the failure domains in turn.
     pub(crate) async fn start(ip: IpAddr, workers: usize, domains: &[&str]) -> Self {
         let state = Arc::new(PlatformState {
             store: Mutex::default(),
@@ -135,7 +136,7 @@
         let (advisor, _) = listen((ip, 0).into(), state.clone(), advise).await;
         for number in 0..workers {
             let worker = WorkerState::new(format!("w{number}"));
-            let born = worker.born;
+            let instance_start = worker.instance_start;
             lock(&state.workers).push(worker);
             let call = move |state: Arc<PlatformState>, request| async move {
                 worker_call(&state, number, request).await
@@ -143,7 +144,7 @@
             let (address, _) = listen((ip, 0).into(), state.clone(), call).await;
             let registration = json!({
                 "service": "svc", "address": address, "zone": domains[number % domains.len()],
-                "version": "v1", "slots": 8, "born": born,
+                "version": "v1", "slots": 8, "born": instance_start,
                 "state": "ready", "cold_ms": 0, "labels": ["k", "r1-0"], "sequence": 1,
                 "capacity": {"millicpu": 8_000, "mem_mb": 16_000, "gpus": 0},
             });
@@ -152,28 +153,28 @@
         Self { state, store, advisor, store_server }
     }
 
-    /// Has a worker leave calls unanswered from now on.
+    /// Makes a worker leave calls unanswered from now on.
     pub(crate) fn silence(&self, worker: &str) {
         lock(&self.state.silent).insert(worker.to_owned());
     }
 
-    /// Has a worker start again under its id; ends once it has registered.
+    /// Restarts a worker under its id and waits until it has registered.
     pub(crate) async fn restart_worker(&self, number: usize) {
         restart(self.state.clone(), number).await;
     }
 
-    /// Ends the store's connections and refuses new ones.
+    /// Closes the store's connections and refuses new ones.
     pub(crate) async fn close_store(&mut self) {
         self.store_server.abort();
         let _ = (&mut self.store_server).await;
     }
 
-    /// Takes connections to the store again, at the same address.
+    /// Accepts connections to the store again, at the same address.
     pub(crate) async fn open_store(&mut self) {
         (_, self.store_server) = serve_store(self.store, &self.state).await;
     }
 
-    /// Opens one more address of the store, whose callers can be cut off by themselves.
+    /// Opens an additional endpoint of the store, whose access can be restricted separately.
     pub(crate) async fn add_endpoint(&self) -> SocketAddr {
         let number = {
             let mut endpoints = lock(&self.state.endpoints);
@@ -187,7 +188,7 @@
         address
     }
 
-    /// Sets what the store answers at a door, also to calls that it has taken and not answered yet.
+    /// Sets what the store answers at an endpoint. Applies to waiting calls as well.
     pub(crate) fn set_endpoint_access(&self, number: usize, access: EndpointAccess) {
         lock(&self.state.endpoints)[number] = access;
     }
@@ -197,7 +198,7 @@
         self.configure_bodies(version, queues, 10_000);
     }
 
-    /// Writes a configuration with the given queues and the largest body, in bytes.
+    /// Writes a configuration with the given queues and largest body, in bytes.
     pub(crate) fn configure_bodies(&self, version: u64, queues: &[&str], body_bytes: usize) {
         let route = |name: &&str| {
             json!({
@@ -222,7 +223,7 @@
         *lock(&self.state.faults) = faults;
     }
 
-    /// Name of the leader under a key of the store.
+    /// Returns the name of the leader stored under a key.
     pub(crate) fn leader(&self, key: &str) -> Option<String> {
         let store = lock(&self.state.store);
         let (value, ..) = store.items.get(key)?;
@@ -245,7 +246,7 @@
     listen(address, state.clone(), call).await
 }
 
-/// Serves an address; ending the task ends the connections as well.
+/// Serves an address. Aborting the task closes its connections as well.
 async fn listen<F, W>(
     address: SocketAddr,
     state: Arc<PlatformState>,
@@ -292,7 +293,7 @@
 }
 
 impl PlatformState {
-    /// Leaves a call unanswered for as long as a worker is silent.
+    /// Delays a call while the worker is silent.
     async fn wait_while_silent(&self, worker: &str) {
         while lock(&self.silent).contains(worker) {
             sleep(POLL_INTERVAL).await;
@@ -309,7 +310,7 @@
         store.write(key, value, 0);
     }
 
-    /// Writes an item whose value is given out as it is, encoded or not.
+    /// Writes an item whose value is returned as it is, without encoding.
     pub(crate) fn put_raw(&self, key: &str, value: Value) {
         let mut store = lock(&self.store);
         store.revision += 1;
@@ -317,7 +318,7 @@
         store.write_item(key, Vec::new(), 0);
     }
 
-    /// A key's value as it was written.
+    /// Returns the JSON value of a key.
     pub(crate) fn value(&self, key: &str) -> Option<Value> {
         let store = lock(&self.store);
         let (value, ..) = store.items.get(key)?;
@@ -326,7 +327,7 @@
 }
 
 impl StoreState {
-    /// Writes a key under the revision of the change that it belongs to.
+    /// Writes a key at the current revision, which the caller has incremented.
     fn write(&mut self, key: &str, value: Vec<u8>, lease: u64) {
         self.raw.remove(key);
         self.write_item(key, value, lease);
@@ -351,7 +352,7 @@
         json!({"key": key, "value": value, "revision": revision, "lease": lease})
     }
 
-    /// Ends leases that have run out.
+    /// Ends expired leases.
     fn expire(&mut self) {
         let now = Instant::now();
         let expired: Vec<u64> =
@@ -439,12 +440,12 @@
             if lost { None } else { answer(status, &body) }
         }
         "/api/kv-lease" => {
-            let ttl = body_of(request).await["ttl_ms"].as_u64().unwrap_or(1_000);
+            let ttl_ms = body_of(request).await["ttl_ms"].as_u64().unwrap_or(1_000);
             let mut store = lock(&state.store);
             let lease = 1 + store.leases.keys().max().copied().unwrap_or(0) + store.revision;
-            let life = Duration::from_millis(ttl);
-            store.leases.insert(lease, (life, Instant::now() + life));
-            answer(200, &json!({"lease": lease, "ttl_ms": ttl}))
+            let ttl = Duration::from_millis(ttl_ms);
+            store.leases.insert(lease, (ttl, Instant::now() + ttl));
+            answer(200, &json!({"lease": lease, "ttl_ms": ttl_ms}))
         }
         path => {
             let id = path.rsplit('/').next().and_then(|id| id.parse::<u64>().ok()).unwrap_or(0);
@@ -454,9 +455,9 @@
                 return answer(200, &json!({}));
             }
             match store.leases.get_mut(&id) {
-                Some((life, end)) => {
-                    *end = Instant::now() + *life;
-                    answer(200, &json!({"ttl_ms": life.as_millis() as u64}))
+                Some((ttl, end)) => {
+                    *end = Instant::now() + *ttl;
+                    answer(200, &json!({"ttl_ms": ttl.as_millis() as u64}))
                 }
                 None => answer(404, &json!({})),
             }
@@ -480,7 +481,7 @@
         return answer(503, &json!({}));
     }
     let answered = store_call(state, request).await;
-    // A watch that waits must not tell of what comes after the door was shut.
+    // A waiting watch must not return events from after the endpoint was closed.
     if reads && refuses() { answer(503, &json!({})) } else { answered }
 }
 
@@ -514,8 +515,8 @@
     state: &PlatformState,
     request: Request<Incoming>,
 ) -> Option<Response<Full<Bytes>>> {
-    let question = body_of(request).await;
-    let workers = question["workers"].as_array().cloned().unwrap_or_default();
+    let advice_request = body_of(request).await;
+    let workers = advice_request["workers"].as_array().cloned().unwrap_or_default();
     let allowed = workers.iter().filter(|worker| worker.as_str() != Some("w0"));
     let allowed: Vec<Value> = allowed.map(|worker| json!([worker, "ticket"])).collect();
     *lock(&state.tickets) += u32::try_from(allowed.len()).unwrap();
@@ -528,29 +529,29 @@
             id,
             restarts: 0,
             down: false,
-            begun: Instant::now(),
-            born: unix_millis(),
-            fence: 0,
+            started: Instant::now(),
+            instance_start: unix_millis(),
+            highest_token: 0,
             until_ms: 0,
             runs: BTreeMap::new(),
             ended: Vec::new(),
             last_end: 0,
-            closed: BTreeMap::new(),
+            closed_runs: BTreeMap::new(),
         }
     }
 
     fn clock_ms(&self) -> u64 {
-        1_000 + u64::try_from(self.begun.elapsed().as_millis()).unwrap()
+        1_000 + u64::try_from(self.started.elapsed().as_millis()).unwrap()
     }
 
-    /// Ends what is over, and everything once the lease is.
+    /// Ends runs that are done, and all runs once the lease has expired.
     fn expire(&mut self) {
-        let (now, lapsed) = (Instant::now(), self.clock_ms() > self.until_ms);
-        let expired = self.runs.iter().filter(|(_, run)| lapsed || run.ends <= now);
+        let (now, lease_expired) = (Instant::now(), self.clock_ms() > self.until_ms);
+        let expired = self.runs.iter().filter(|(_, run)| lease_expired || run.ends <= now);
         let expired: Vec<(String, u64)> =
             expired.map(|(task, run)| (task.clone(), run.run)).collect();
         for (task, run) in expired {
-            self.end(&task, run, if lapsed { "lapsed" } else { "done" });
+            self.end(&task, run, if lease_expired { "lapsed" } else { "done" });
         }
     }
 
@@ -562,8 +563,8 @@
     }
 
     fn close(&mut self, task: &str, run: u64) {
-        let closed = self.closed.entry(task.to_owned()).or_default();
-        *closed = (*closed).max(run);
+        let closed_run = self.closed_runs.entry(task.to_owned()).or_default();
+        *closed_run = (*closed_run).max(run);
     }
 
     fn refuse(&self, reason: &str) -> Option<Response<Full<Bytes>>> {
@@ -585,8 +586,8 @@
         worker.id.clone()
     };
     let path = request.uri().path().to_owned();
-    let life = request.headers().get("Target-Instance").and_then(|life| life.to_str().ok());
-    let other_instance = life.is_some_and(|life| life != id);
+    let instance = request.headers().get("Target-Instance").and_then(|value| value.to_str().ok());
+    let other_instance = instance.is_some_and(|instance| instance != id);
     let body = body_of(request).await;
     if other_instance {
         return answer(421, &json!({}));
@@ -596,10 +597,10 @@
         let mut workers = lock(&state.workers);
         let worker = &mut workers[number];
         worker.expire();
-        if epoch < worker.fence {
+        if epoch < worker.highest_token {
             return worker.refuse("fence");
         }
-        worker.fence = epoch;
+        worker.highest_token = epoch;
     }
     match path.as_str() {
         "/api/run-start" => {
@@ -626,7 +627,7 @@
     }
 }
 
-/// A worker goes some milliseconds after a start, and is back under another name.
+/// Takes a worker down some milliseconds after a start and brings it back under another id.
 async fn crash(state: Arc<PlatformState>, number: usize) {
     sleep(CRASH_DELAY).await;
     lock(&state.workers)[number].down = true;
@@ -638,27 +639,27 @@
         let restarts = workers[number].restarts + 1;
         let id = format!("w{number}-{restarts}");
         workers[number] = WorkerState { restarts, ..WorkerState::new(id.clone()) };
-        registration["born"] = json!(workers[number].born);
+        registration["born"] = json!(workers[number].instance_start);
         id
     };
     lock(&state.store).remove(&old);
     state.put(&format!("servers/{id}"), &registration);
 }
 
-/// A worker goes, and is back under its id, knowing nothing.
+/// Takes a worker down and brings it back under its id, without any state.
 async fn restart(state: Arc<PlatformState>, number: usize) {
     lock(&state.workers)[number].down = true;
     sleep(DOWNTIME).await;
-    let (key, born) = {
+    let (key, instance_start) = {
         let mut workers = lock(&state.workers);
         let worker = WorkerState::new(workers[number].id.clone());
-        let place = (format!("servers/{}", worker.id), worker.born);
+        let key_and_start = (format!("servers/{}", worker.id), worker.instance_start);
         workers[number] = worker;
-        place
+        key_and_start
     };
     sleep(REGISTRATION_DELAY).await;
     let mut registration = state.value(&key).unwrap_or_default();
-    registration["born"] = json!(born);
+    registration["born"] = json!(instance_start);
     state.put(&key, &registration);
 }
 
@@ -676,13 +677,13 @@
         return worker.refuse("late");
     }
     worker.until_ms = worker.until_ms.max(until.min(worker.clock_ms() + HOLD_MAX_MS));
-    if worker.closed.get(&task).is_some_and(|closed| *closed >= run) {
+    if worker.closed_runs.get(&task).is_some_and(|closed_run| *closed_run >= run) {
         return worker.refuse("old");
     }
     if !worker.runs.contains_key(&task) {
         if elsewhere {
             lock(&state.violations)
-                .push(format!("{task} begins on {} and runs elsewhere", worker.id));
+                .push(format!("{task} starts on {} and runs on another worker", worker.id));
         }
         *lock(&state.starts).entry(task.clone()).or_default() += 1;
         let ends = Instant::now() + Duration::from_millis(millis);
@@ -700,12 +701,12 @@
     let wait = Duration::from_millis(body["wait_ms"].as_u64().unwrap_or(0));
     let acked = body["ack_cursor"].as_u64().unwrap_or(0);
     let end = Instant::now() + wait;
-    let born = lock(&state.workers)[number].born;
+    let instance_start = lock(&state.workers)[number].instance_start;
     loop {
         {
             let mut workers = lock(&state.workers);
             let worker = &mut workers[number];
-            if worker.down || worker.id != id || worker.born != born {
+            if worker.down || worker.id != id || worker.instance_start != instance_start {
                 return None;
             }
             let until = body["until_ms"].as_u64().unwrap_or(0);
@@ -717,7 +718,7 @@
                     worker.runs.iter().map(|(task, run)| json!([task, run.run, "", 50, 0]));
                 let running: Vec<Value> = running.collect();
                 let clock = worker.clock_ms();
-                let lists = json!({"born": worker.born, "clock_ms": clock, "running": running, "finished": worker.ended});
+                let lists = json!({"born": worker.instance_start, "clock_ms": clock, "running": running, "finished": worker.ended});
                 return answer(200, &lists);
             }
         }
