--- a/tests/platform/deposed_leader.rs
+++ b/tests/platform/deposed_leader.rs
@@ -52,7 +52,7 @@
         wait_for("the end of outdated counts", count_is_current).await;
     }
 
-    async fn expect_new_job_unknown(&self) {
+    async fn expect_new_job_unavailable(&self) {
         for _ in 0..REQUESTS {
             for method in [Method::GET, Method::DELETE] {
                 let answer = self.request(method.clone(), NEW_JOB).await;
@@ -79,14 +79,14 @@
 #[tokio::test]
 async fn a_leader_cut_off_from_the_store_answers_503_for_newer_jobs() {
     let deposed = DeposedLeader::new(60).await;
-    deposed.expect_new_job_unknown().await;
+    deposed.expect_new_job_unavailable().await;
     deposed.wait_until_count_is_current().await;
     for _ in 0..REQUESTS {
         let answer = deposed.request(Method::GET, "/now/").await;
         expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
         // It still answers for the job that it has accepted.
-        let known = deposed.request(Method::GET, OLD_JOB).await;
-        expect_that!(known.body["state"], eq(&json!("queued")));
+        let answer_for_old_job = deposed.request(Method::GET, OLD_JOB).await;
+        expect_that!(answer_for_old_job.body["state"], eq(&json!("queued")));
     }
 }
 
@@ -102,9 +102,9 @@
     let key = format!("m/entry/{}", cluster.entries[*first].name);
     let registered = async || cluster.platform.state.value(&key).is_some();
     wait_for("the first leader to register again", registered).await;
-    deposed.expect_new_job_unknown().await;
+    deposed.expect_new_job_unavailable().await;
     deposed.wait_until_count_is_current().await;
-    deposed.expect_new_job_unknown().await;
+    deposed.expect_new_job_unavailable().await;
     // Once the entry can read the store again, its callers are served by the second leader.
     cluster.platform.set_endpoint_access(*first, EndpointAccess::Open);
     cluster.wait_state(*first, NEW_JOB, "queued").await;
--- a/tests/platform/logs.rs
+++ b/tests/platform/logs.rs
@@ -1,9 +1,9 @@
 //! What entries log during an outage of a dependency.
 //!
 //! Guards against a flood of log lines: while the store refused connections, each loop of an entry
-//! logged every failed try, each 100 ms, which made 252 warnings in about nine seconds. They hid the
-//! lines about jobs, and no line gave the end or length of the outage. The start and the end of an
-//! outage are one line each, with at most one line a second between them.
+//! logged every failed try, each 100 ms, which made 252 warnings of the same three messages in about
+//! nine seconds. They hid the lines about jobs, and no line gave the end or length of the outage. The
+//! start and the end of an outage are now one line each, with at most one line a second between them.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
