--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which task runs on which worker, and when.
+//! Placement of tasks on the workers of a failure domain.
 
 mod estimate;
 mod gang;
--- a/src/placement/estimate.rs
+++ b/src/placement/estimate.rs
@@ -1,4 +1,4 @@
-//! Run times and sizes as they were seen, in place of the declared ones.
+//! Run times and reservations estimated from earlier tasks, used in place of the declared ones.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,32 +9,33 @@
 
 /// Weight of a new run time in the running mean.
 const RUN_TIME_WEIGHT: f64 = 0.2;
-/// Run time assumed where nothing was declared or seen.
-const UNKNOWN_RUN_TIME: Duration = Duration::from_secs(600);
-/// Ends seen before a smaller size than the declared one is trusted.
-const SIZE_SAMPLES: u32 = 8;
-/// Room left above the largest use seen, in percent.
+/// Run time assumed where none was declared or measured.
+const DEFAULT_RUN_TIME: Duration = Duration::from_secs(600);
+/// Successful tasks needed before a reservation is made smaller than the declared size.
+const MIN_SIZE_SAMPLES: u32 = 8;
+/// Margin above the measured peak usage, in percent.
 const SIZE_MARGIN_PERCENT: u32 = 25;
-/// Smallest reservation, as a fraction of the declared one.
-const SIZE_FLOOR: u32 = 4;
+/// The declared size divided by this is the smallest reservation.
+const SIZE_FLOOR_DIVISOR: u32 = 4;
 
 #[derive(Clone, Debug, Default)]
 struct IntentEstimate {
     run_time: Option<Duration>,
     peak: ResourceVector,
     samples: u32,
-    /// Set when a task was stopped for exceeding a corrected size.
+    /// Set once a task was stopped for exceeding its reservation; from then on the declared size
+    /// is reserved.
     declared_only: bool,
 }
 
-/// What is learned about each intent.
+/// Estimates by intent.
 #[derive(Clone, Debug, Default)]
 pub struct EstimateTable {
     intents: BTreeMap<ServiceId, IntentEstimate>,
 }
 
 impl EstimateTable {
-    /// Notes a task that succeeded.
+    /// Records the run time and the peak usage of a task that succeeded.
     pub fn note_success(&mut self, intent: &ServiceId, run_time: Duration, peak: ResourceVector) {
         let estimate = self.intents.entry(intent.clone()).or_default();
         estimate.run_time = Some(match estimate.run_time {
@@ -45,32 +46,32 @@
         estimate.samples += 1;
     }
 
-    /// Notes a task that was stopped because it used more than its reservation.
+    /// Records that a task was stopped because it used more than its reservation.
     pub fn note_over_limit(&mut self, intent: &ServiceId) {
         self.intents.entry(intent.clone()).or_default().declared_only = true;
     }
 
-    /// Run time to expect.
+    /// Expected run time: the measured mean, else the declared time, else a default.
     pub fn run_time(&self, spec: &JobSpec) -> Duration {
-        let seen = self.intents.get(&spec.intent).and_then(|estimate| estimate.run_time);
-        seen.or(spec.run_time).unwrap_or(UNKNOWN_RUN_TIME)
+        let measured = self.intents.get(&spec.intent).and_then(|estimate| estimate.run_time);
+        measured.or(spec.run_time).unwrap_or(DEFAULT_RUN_TIME)
     }
 
-    /// Room to reserve: the declared size, or less where much less was seen often enough.
+    /// Resources to reserve: the declared size, or less after enough tasks used less.
     pub fn need(&self, spec: &JobSpec) -> ResourceVector {
         match self.intents.get(&spec.intent) {
-            Some(estimate) if estimate.samples >= SIZE_SAMPLES && !estimate.declared_only => {
-                corrected(&spec.need, &estimate.peak)
+            Some(estimate) if estimate.samples >= MIN_SIZE_SAMPLES && !estimate.declared_only => {
+                corrected_need(&spec.need, &estimate.peak)
             }
             _ => spec.need,
         }
     }
 }
 
-fn corrected(declared: &ResourceVector, peak: &ResourceVector) -> ResourceVector {
+fn corrected_need(declared: &ResourceVector, peak: &ResourceVector) -> ResourceVector {
     let shrink = |declared: u32, peak: u32| {
-        let wanted = peak.saturating_add(peak / 100 * SIZE_MARGIN_PERCENT + 1);
-        wanted.clamp((declared / SIZE_FLOOR).min(declared), declared)
+        let with_margin = peak.saturating_add(peak / 100 * SIZE_MARGIN_PERCENT + 1);
+        with_margin.clamp((declared / SIZE_FLOOR_DIVISOR).min(declared), declared)
     };
     ResourceVector::new(
         shrink(declared.millicores, peak.millicores),
--- a/src/placement/pool.rs
+++ b/src/placement/pool.rs
@@ -1,4 +1,4 @@
-//! The workers of a failure domain and the room on them.
+//! The workers of a failure domain and their free capacity.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,9 +8,9 @@
 use crate::invariant;
 use crate::resources::ResourceVector;
 
-/// Candidates looked at before a search gives up within one class.
-const CLASS_PROBES: usize = 8;
-/// Thousandths in a core: classes of free processors are whole cores.
+/// Workers that a search examines in one class before it goes on to the next.
+const MAX_CLASS_CANDIDATES: usize = 8;
+/// Millicores in a core; classes are formed by whole free cores.
 const MILLICORES_PER_CORE: u32 = 1_000;
 
 /// A worker as the platform lists it.
@@ -19,43 +19,43 @@
 pub struct WorkerSpec {
     /// Name of the worker.
     pub id: WorkerId,
-    /// Rack that it stands in.
+    /// Rack that holds it.
     pub rack: RackId,
-    /// All that it has.
+    /// Its total capacity.
     pub capacity: ResourceVector,
 }
 
-/// A worker with what is given out of it.
+/// A worker and the reservations on it.
 #[derive(Clone, Debug)]
 pub struct PoolWorker {
     /// The worker.
     pub spec: WorkerSpec,
-    /// Room that is not given out.
+    /// Capacity that is not reserved.
     pub free: ResourceVector,
-    /// Tasks that hold room.
+    /// Reservations by task.
     pub tasks: BTreeMap<TaskId, ResourceVector>,
     /// Whether new work may be placed on it.
     pub open: bool,
-    /// Task that alone may take freed room here, while victims are stopped for it.
-    pub kept_for: Option<TaskId>,
+    /// The only task that may use free capacity here, while other tasks are preempted for it.
+    pub reserved_for: Option<TaskId>,
 }
 
 impl PoolWorker {
-    fn class(&self) -> ClassKey {
+    fn class_key(&self) -> ClassKey {
         (self.free.accelerators, self.free.millicores / MILLICORES_PER_CORE)
     }
 
-    /// Tells whether a task without accelerators would leave accelerators here without processors
-    /// or memory to go with them.
-    fn strands(&self, need: &ResourceVector) -> bool {
+    /// Tells whether a task without accelerators would leave too few processors or too little
+    /// memory for the free accelerators to be used: less than half of their share.
+    fn strands_accelerators(&self, need: &ResourceVector) -> bool {
         if need.accelerators > 0 || self.free.accelerators == 0 {
             return false;
         }
         let devices = self.spec.capacity.accelerators.max(1);
-        let share = |whole: u32| whole / devices / 2 * self.free.accelerators;
-        let rest = self.free.saturating_sub(need);
-        rest.millicores < share(self.spec.capacity.millicores)
-            || rest.memory_mib < share(self.spec.capacity.memory_mib)
+        let share = |total: u32| total / devices / 2 * self.free.accelerators;
+        let left = self.free.saturating_sub(need);
+        left.millicores < share(self.spec.capacity.millicores)
+            || left.memory_mib < share(self.spec.capacity.memory_mib)
     }
 }
 
@@ -63,7 +63,7 @@
 type ClassKey = (u32, u32);
 type ClassIndex = BTreeMap<ClassKey, BTreeSet<(u32, WorkerId)>>;
 
-/// All workers that may be placed on, indexed by the room on them.
+/// All workers, with an index of the schedulable ones by free capacity.
 ///
 /// Workers of equal free accelerators and whole free cores form a class, ordered by free memory. A
 /// search walks classes from the tightest, so its cost grows with the number of classes and not with
@@ -77,7 +77,7 @@
 }
 
 impl WorkerPool {
-    /// Adds a worker without tasks, open for work; a known one is kept as it is.
+    /// Adds a schedulable worker without tasks; a known worker is left unchanged.
     pub fn add(&mut self, spec: WorkerSpec) {
         if self.workers.contains_key(&spec.id) {
             return;
@@ -89,13 +89,13 @@
             spec,
             tasks: BTreeMap::new(),
             open: true,
-            kept_for: None,
+            reserved_for: None,
         };
         self.index(&worker);
         self.workers.insert(worker.spec.id.clone(), worker);
     }
 
-    /// Removes a worker and gives the tasks that held room on it.
+    /// Removes a worker and returns the tasks that had reservations on it.
     pub fn remove(&mut self, id: &WorkerId) -> Vec<TaskId> {
         let Some(worker) = self.workers.remove(id) else {
             return Vec::new();
@@ -127,29 +127,29 @@
         self.largest
     }
 
-    /// Room not given out on open workers.
+    /// Unreserved capacity of all schedulable workers.
     pub fn free(&self) -> ResourceVector {
-        let open = self.workers.values().filter(|worker| worker.open);
-        open.fold(ResourceVector::default(), |sum, worker| sum.saturating_add(&worker.free))
+        let schedulable = self.workers.values().filter(|worker| worker.open);
+        schedulable.fold(ResourceVector::default(), |sum, worker| sum.saturating_add(&worker.free))
     }
 
-    /// Tells whether some worker, were it empty, could hold `need`.
+    /// Tells whether `need` fits into the total capacity of some worker.
     pub fn could_ever_fit(&self, need: &ResourceVector) -> bool {
         self.workers.values().any(|worker| need.fits(&worker.spec.capacity))
     }
 
-    /// Opens or closes a worker for new work.
-    pub fn set_open(&mut self, id: &WorkerId, open: bool) {
-        self.change(id, |worker| worker.open = open);
+    /// Sets whether new work may be placed on a worker.
+    pub fn set_schedulable(&mut self, id: &WorkerId, schedulable: bool) {
+        self.update(id, |worker| worker.open = schedulable);
     }
 
-    /// Keeps freed room for a task, or lets everybody have it.
-    pub fn keep_for(&mut self, id: &WorkerId, task: Option<TaskId>) {
-        self.change(id, |worker| worker.kept_for = task);
+    /// Reserves the free capacity of a worker for one task, or lifts that reservation.
+    pub fn reserve_for(&mut self, id: &WorkerId, task: Option<TaskId>) {
+        self.update(id, |worker| worker.reserved_for = task);
     }
 
-    /// Takes room for a task and tells whether there was enough.
-    pub fn take(&mut self, id: &WorkerId, task: &TaskId, need: ResourceVector) -> bool {
+    /// Reserves capacity for a task and tells whether there was enough.
+    pub fn allocate(&mut self, id: &WorkerId, task: &TaskId, need: ResourceVector) -> bool {
         let Some(worker) = self.workers.get(id) else {
             return false;
         };
@@ -158,56 +158,60 @@
                 format!("{task:?} needs {need:?} on {id} with {:?} free", worker.free)
             });
         };
-        if !invariant::holds(!worker.tasks.contains_key(task), "one place", || format!("{task:?}"))
-        {
+        if !invariant::holds(!worker.tasks.contains_key(task), "one place", || {
+            format!("{task:?} already holds a reservation")
+        }) {
             return false;
         }
-        self.change(id, |worker| {
+        self.update(id, |worker| {
             worker.free = free;
             worker.tasks.insert(task.clone(), need);
         });
         true
     }
 
-    /// Notes a task that the worker already runs, even where it holds more than there is.
-    pub fn note(&mut self, id: &WorkerId, task: &TaskId, need: ResourceVector) {
-        self.change(id, |worker| {
+    /// Records a task that the worker already runs, even if that exceeds its free capacity.
+    pub fn record_running(&mut self, id: &WorkerId, task: &TaskId, need: ResourceVector) {
+        self.update(id, |worker| {
             if worker.tasks.insert(task.clone(), need).is_none() {
                 worker.free = worker.free.saturating_sub(&need);
             }
         });
     }
 
-    /// Gives the room of a task back.
-    pub fn give_back(&mut self, id: &WorkerId, task: &TaskId) {
-        self.change(id, |worker| {
+    /// Frees the reservation of a task.
+    pub fn deallocate(&mut self, id: &WorkerId, task: &TaskId) {
+        self.update(id, |worker| {
             if worker.tasks.remove(task).is_some() {
-                let held = worker.tasks.values();
-                let sum =
-                    held.fold(ResourceVector::default(), |sum, need| sum.saturating_add(need));
+                let reservations = worker.tasks.values();
+                let sum = reservations
+                    .fold(ResourceVector::default(), |sum, need| sum.saturating_add(need));
                 worker.free = worker.spec.capacity.saturating_sub(&sum);
             }
         });
     }
 
-    /// Finds the tightest open worker for `need`. Only `allowed` workers count, and such as are kept
-    /// for nobody else than `task`. Where it `may_strand`, processors that accelerators need to be of
-    /// use may be taken.
+    /// Finds the schedulable worker that `need` fits most tightly. Workers that are not `allowed` or
+    /// are reserved for a task other than `task` are passed over. With `may_strand_accelerators`,
+    /// a worker whose free accelerators would become unusable is taken if there is no other.
     pub fn find_tightest(
         &self,
         task: &TaskId,
         need: &ResourceVector,
-        may_strand: bool,
+        may_strand_accelerators: bool,
         allowed: impl Fn(&PoolWorker) -> bool,
     ) -> Option<WorkerId> {
         let accepts = |worker: &PoolWorker| {
-            let kept = worker.kept_for.as_ref().is_some_and(|kept| kept != task);
-            !kept && need.fits(&worker.free) && allowed(worker)
+            let reserved = worker.reserved_for.as_ref().is_some_and(|reserved| reserved != task);
+            !reserved && need.fits(&worker.free) && allowed(worker)
         };
-        let spares = |worker: &PoolWorker| accepts(worker) && !worker.strands(need);
-        match may_strand {
-            true => self.search(need, spares).or_else(|| self.search(need, accepts)),
-            false => self.search(need, spares),
+        let accepts_without_stranding =
+            |worker: &PoolWorker| accepts(worker) && !worker.strands_accelerators(need);
+        match may_strand_accelerators {
+            true => {
+                self.search(need, accepts_without_stranding).or_else(|| self.search(need, accepts))
+            }
+            false => self.search(need, accepts_without_stranding),
         }
     }
 
@@ -222,7 +226,7 @@
                 continue;
             }
             let start = (need.memory_mib, WorkerId::from(""));
-            for (_, id) in class.range(start..).take(CLASS_PROBES) {
+            for (_, id) in class.range(start..).take(MAX_CLASS_CANDIDATES) {
                 if self.workers.get(id).is_some_and(&accepts) {
                     return Some(id.clone());
                 }
@@ -231,7 +235,8 @@
         None
     }
 
-    /// Finds the open worker with room whose rack, then itself, holds the fewest of `siblings`.
+    /// Finds the schedulable worker with enough capacity whose rack, and then which itself, runs the
+    /// fewest of `siblings`.
     pub fn find_spread(
         &self,
         task: &TaskId,
@@ -245,25 +250,31 @@
                 *racks.entry(&worker.spec.rack).or_default() += count;
             }
         }
-        let fitting = self.workers.values().filter(|worker| {
-            let kept = worker.kept_for.as_ref().is_some_and(|kept| kept != task);
-            worker.open && !kept && need.fits(&worker.free) && allowed(worker)
+        let candidates = self.workers.values().filter(|worker| {
+            let reserved = worker.reserved_for.as_ref().is_some_and(|reserved| reserved != task);
+            worker.open && !reserved && need.fits(&worker.free) && allowed(worker)
         });
-        let best = fitting.min_by_key(|worker| {
+        let best = candidates.min_by_key(|worker| {
             let in_rack = racks.get(&worker.spec.rack).copied().unwrap_or(0);
-            let here = siblings.get(&worker.spec.id).copied().unwrap_or(0);
-            let wasted = worker.free.accelerators.saturating_sub(need.accelerators);
-            (in_rack, here, wasted, worker.strands(need), u32::MAX - worker.free.millicores)
+            let on_worker = siblings.get(&worker.spec.id).copied().unwrap_or(0);
+            let unused_accelerators = worker.free.accelerators.saturating_sub(need.accelerators);
+            (
+                in_rack,
+                on_worker,
+                unused_accelerators,
+                worker.strands_accelerators(need),
+                u32::MAX - worker.free.millicores,
+            )
         });
         best.map(|worker| worker.spec.id.clone())
     }
 
-    fn change(&mut self, id: &WorkerId, change: impl FnOnce(&mut PoolWorker)) {
+    fn update(&mut self, id: &WorkerId, update: impl FnOnce(&mut PoolWorker)) {
         let Some(mut worker) = self.workers.remove(id) else {
             return;
         };
         self.unindex(&worker);
-        change(&mut worker);
+        update(&mut worker);
         self.index(&worker);
         self.workers.insert(id.clone(), worker);
     }
@@ -271,12 +282,12 @@
     fn index(&mut self, worker: &PoolWorker) {
         if worker.open {
             let key = (worker.free.memory_mib, worker.spec.id.clone());
-            self.classes.entry(worker.class()).or_default().insert(key);
+            self.classes.entry(worker.class_key()).or_default().insert(key);
         }
     }
 
     fn unindex(&mut self, worker: &PoolWorker) {
-        let class = worker.class();
+        let class = worker.class_key();
         if let Some(members) = self.classes.get_mut(&class) {
             members.remove(&(worker.free.memory_mib, worker.spec.id.clone()));
             if members.is_empty() {
@@ -285,7 +296,7 @@
         }
     }
 
-    /// Checks that no worker holds more than it has; for tests and the state dump.
+    /// Checks that no reservations exceed the capacity of their worker; for tests and the state dump.
     pub fn check(&self) -> bool {
         self.workers.values().all(|worker| {
             let sum = worker
@@ -293,7 +304,7 @@
                 .values()
                 .fold(ResourceVector::default(), |sum, need| sum.saturating_add(need));
             invariant::holds(sum.fits(&worker.spec.capacity), "capacity", || {
-                format!("{} holds {sum:?} of {:?}", worker.spec.id, worker.spec.capacity)
+                format!("{} has {sum:?} reserved of {:?}", worker.spec.id, worker.spec.capacity)
             })
         })
     }
--- a/src/placement/queue.rs
+++ b/src/placement/queue.rs
@@ -1,4 +1,4 @@
-//! Jobs that wait for room, in the order in which they are served.
+//! Jobs that wait for capacity, in the order in which they are placed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,46 +8,46 @@
 use crate::intent::Urgency;
 use crate::job::JobSpec;
 
-/// Work without a time by which it has to be finished is ordered as if it had to start this long
-/// after it was accepted.
-const SOON_HORIZON: Duration = Duration::from_secs(3_600);
-/// Work that has to start within this time goes before fairness.
-const PRESSING_WINDOW: Duration = Duration::from_secs(300);
+/// A job without a deadline is ordered as if it had to start this long after it was accepted.
+const DEFAULT_START_DELAY: Duration = Duration::from_secs(3_600);
+/// A job that has to start within this time is placed before the jobs of the fair class.
+const DUE_SOON_WINDOW: Duration = Duration::from_secs(300);
 
-/// Class of service; lower goes first.
+/// Scheduling class; lower classes are placed first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(crate) enum QueueClass {
-    /// A person waits.
+    /// Urgent jobs, whose results are needed now.
     Urgent,
-    /// It would miss its time if it waited much longer.
-    Pressing,
-    /// Fairness between workspaces decides.
+    /// Jobs that have to start soon to meet their deadline.
+    DueSoon,
+    /// All other jobs, ordered by fairness between workspaces.
     Fair,
 }
 
-/// All classes in the order in which they are served.
-pub(crate) const CLASSES: [QueueClass; 3] =
-    [QueueClass::Urgent, QueueClass::Pressing, QueueClass::Fair];
+/// All classes in the order in which they are placed.
+pub(crate) const QUEUE_CLASSES: [QueueClass; 3] =
+    [QueueClass::Urgent, QueueClass::DueSoon, QueueClass::Fair];
 
-/// A job with tasks that wait.
+/// A job with waiting tasks.
 #[derive(Clone, Debug)]
 pub(crate) struct QueuedJob {
     /// The job.
     pub(crate) spec: Arc<JobSpec>,
-    /// Tasks that wait.
+    /// Its waiting tasks.
     pub(crate) waiting: BTreeSet<TaskIndex>,
     class: QueueClass,
-    /// Latest start, in milliseconds since the Unix epoch.
-    order: UnixMillis,
+    /// Latest start, in milliseconds since the Unix epoch; for urgent jobs, when they were
+    /// accepted.
+    latest_start: UnixMillis,
 }
 
-/// Jobs that wait, by class and workspace.
+/// Waiting jobs by class and workspace.
 #[derive(Debug, Default)]
 pub(crate) struct JobQueue {
     jobs: BTreeMap<JobId, QueuedJob>,
-    lanes: BTreeMap<(QueueClass, WorkspaceId), BTreeSet<(UnixMillis, JobId)>>,
-    /// Jobs of the fair class by latest start.
-    upcoming: BTreeSet<(UnixMillis, JobId)>,
+    workspace_queues: BTreeMap<(QueueClass, WorkspaceId), BTreeSet<(UnixMillis, JobId)>>,
+    /// Jobs of the fair class that have a deadline, by latest start.
+    fair_by_start: BTreeSet<(UnixMillis, JobId)>,
 }
 
 impl JobQueue {
@@ -61,13 +61,14 @@
             Urgency::Now => QueueClass::Urgent,
             Urgency::By(_) | Urgency::Soon => QueueClass::Fair,
         };
-        let order = match spec.urgency {
+        let latest_start = match spec.urgency {
             Urgency::Now => spec.accepted,
             Urgency::By(due) => due.saturating_sub(millis(run_time)),
-            Urgency::Soon => spec.accepted.saturating_add(millis(SOON_HORIZON)),
+            Urgency::Soon => spec.accepted.saturating_add(millis(DEFAULT_START_DELAY)),
         };
-        let job = QueuedJob { spec: spec.clone(), waiting: BTreeSet::from([index]), class, order };
-        self.link(&job);
+        let job =
+            QueuedJob { spec: spec.clone(), waiting: BTreeSet::from([index]), class, latest_start };
+        self.index_job(&job);
         self.jobs.insert(spec.id.clone(), job);
     }
 
@@ -83,12 +84,12 @@
         removed
     }
 
-    /// Removes a job and gives its waiting tasks.
+    /// Removes a job and returns its waiting tasks.
     pub(crate) fn remove_job(&mut self, id: &JobId) -> BTreeSet<TaskIndex> {
         let Some(job) = self.jobs.remove(id) else {
             return BTreeSet::new();
         };
-        self.unlink(&job);
+        self.unindex_job(&job);
         job.waiting
     }
 
@@ -110,11 +111,12 @@
     /// Workspaces with jobs of a class.
     pub(crate) fn workspaces(&self, class: QueueClass) -> Vec<WorkspaceId> {
         let first = (class, WorkspaceId::from(""));
-        let lanes = self.lanes.range(first..).take_while(|((other, _), _)| *other == class);
-        lanes.map(|((_, workspace), _)| workspace.clone()).collect()
+        let queues =
+            self.workspace_queues.range(first..).take_while(|((other, _), _)| *other == class);
+        queues.map(|((_, workspace), _)| workspace.clone()).collect()
     }
 
-    /// The job after `last` in a workspace's lane, or the first.
+    /// The job after `last` in the queue of a class and workspace, or the first.
     pub(crate) fn next_job(
         &self,
         class: QueueClass,
@@ -122,47 +124,50 @@
         last: Option<&(UnixMillis, JobId)>,
     ) -> Option<(UnixMillis, JobId)> {
         use std::ops::Bound::{Excluded, Unbounded};
-        let lane = self.lanes.get(&(class, workspace.clone()))?;
+        let queue = self.workspace_queues.get(&(class, workspace.clone()))?;
         match last {
-            None => lane.first().cloned(),
-            Some(last) => lane.range((Excluded(last.clone()), Unbounded)).next().cloned(),
+            None => queue.first().cloned(),
+            Some(last) => queue.range((Excluded(last.clone()), Unbounded)).next().cloned(),
         }
     }
 
-    /// Moves jobs that have to start soon out of the fair class.
+    /// Moves jobs that have to start soon from the fair class to the class before it.
     pub(crate) fn promote(&mut self, now: UnixMillis) {
-        let bound = now.saturating_add(millis(PRESSING_WINDOW));
-        while let Some((order, id)) = self.upcoming.first().cloned() {
-            if order > bound {
+        let bound = now.saturating_add(millis(DUE_SOON_WINDOW));
+        while let Some((latest_start, id)) = self.fair_by_start.first().cloned() {
+            if latest_start > bound {
                 break;
             }
-            self.upcoming.pop_first();
+            self.fair_by_start.pop_first();
             let Some(mut job) = self.jobs.remove(&id) else {
                 continue;
             };
-            self.unlink(&job);
-            job.class = QueueClass::Pressing;
-            self.link(&job);
+            self.unindex_job(&job);
+            job.class = QueueClass::DueSoon;
+            self.index_job(&job);
             self.jobs.insert(id, job);
         }
     }
 
-    fn link(&mut self, job: &QueuedJob) {
-        let key = (job.order, job.spec.id.clone());
+    fn index_job(&mut self, job: &QueuedJob) {
+        let key = (job.latest_start, job.spec.id.clone());
         if job.class == QueueClass::Fair && matches!(job.spec.urgency, Urgency::By(_)) {
-            self.upcoming.insert(key.clone());
+            self.fair_by_start.insert(key.clone());
         }
-        self.lanes.entry((job.class, job.spec.workspace.clone())).or_default().insert(key);
+        self.workspace_queues
+            .entry((job.class, job.spec.workspace.clone()))
+            .or_default()
+            .insert(key);
     }
 
-    fn unlink(&mut self, job: &QueuedJob) {
-        let key = (job.order, job.spec.id.clone());
-        self.upcoming.remove(&key);
-        let lane = (job.class, job.spec.workspace.clone());
-        if let Some(jobs) = self.lanes.get_mut(&lane) {
+    fn unindex_job(&mut self, job: &QueuedJob) {
+        let key = (job.latest_start, job.spec.id.clone());
+        self.fair_by_start.remove(&key);
+        let queue_key = (job.class, job.spec.workspace.clone());
+        if let Some(jobs) = self.workspace_queues.get_mut(&queue_key) {
             jobs.remove(&key);
             if jobs.is_empty() {
-                self.lanes.remove(&lane);
+                self.workspace_queues.remove(&queue_key);
             }
         }
     }
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -1,4 +1,4 @@
-//! Decides which waiting task starts where.
+//! The scheduler of one failure domain: starts, stops and requeues tasks.
 
 mod outcomes;
 mod passes;
@@ -19,79 +19,80 @@
 use crate::placement::gang::GangReservation;
 use crate::placement::health::HealthTable;
 use crate::placement::pool::{PoolWorker, WorkerPool, WorkerSpec};
-use crate::placement::queue::{CLASSES, JobQueue, QueueClass};
+use crate::placement::queue::{JobQueue, QUEUE_CLASSES, QueueClass};
 use crate::placement::task::{LiveTask, StagedTask, StopReason};
 use crate::placement::victim::{VictimCandidate, VictimSet, pick_victims};
 use crate::resources::ResourceVector;
 use crate::token::FencingToken;
 use crate::worker::{TaskOutcome, TaskUsage};
 
-/// Jobs that may fail to fit before a pass ends.
-const PASS_FAILURES: u32 = 128;
+/// Jobs that may fail to fit before a scheduling pass ends.
+const MAX_PASS_FAILURES: u32 = 128;
 /// Searches for victims in one pass.
-const PASS_VICTIM_SEARCHES: u32 = 16;
-/// Times that one task may be stopped for urgent work.
+const MAX_PASS_VICTIM_SEARCHES: u32 = 16;
+/// Times that one task may be preempted for urgent work.
 const MAX_PREEMPTIONS: u32 = 2;
-/// How long freed room is kept for the urgent task that it was freed for.
+/// Time for which freed capacity is reserved for the urgent task that it was freed for.
 const RESERVATION_TIME: Duration = Duration::from_secs(5);
-/// Place of the epoch in the number of a try.
+/// Position of the epoch in an attempt number, in bits.
 const EPOCH_SHIFT: u32 = 32;
-/// Place of the round in the number of a try.
+/// Position of the round in an attempt number, in bits.
 const ROUND_SHIFT: u32 = 20;
-/// Highest round that the number of a try tells apart.
+/// Highest round that fits into an attempt number; higher rounds are stored as this one.
 const MAX_ROUND: u64 = (1 << (EPOCH_SHIFT - ROUND_SHIFT)) - 1;
-/// Work that waited longer than this may take processors that accelerators need to be of use.
-const STRAND_PATIENCE_MS: UnixMillis = 30_000;
-/// Added to the expected end of a task before its worker is asked.
-const LOOK_MARGIN: Duration = Duration::from_millis(20);
-/// Part of its run time after which a task that is overdue is looked at again.
-const LOOK_FRACTION: u32 = 8;
-/// Shortest time between two looks at an overdue task.
-const FIRST_LOOK: Duration = Duration::from_millis(200);
-/// Interval at which what waits is looked at again.
+/// A task that waited longer than this may take processors and memory without which free
+/// accelerators are of no use.
+const STRAND_WAIT_MS: UnixMillis = 30_000;
+/// Added to the expected end of a task before its worker is asked for the outcome.
+const CHECK_MARGIN: Duration = Duration::from_millis(20);
+/// The worker of an overdue task is asked again after the time it has run so far, divided by this.
+const OVERDUE_CHECK_FRACTION: u32 = 8;
+/// Shortest interval between two checks of an overdue task.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval at which waiting tasks are reconsidered without an event.
 const REVIEW_INTERVAL: Duration = Duration::from_secs(1);
-/// Pause before a task is queued again whose start was refused or that was lost.
-const RESTART_PAUSE: Duration = Duration::from_millis(200);
-/// Tasks of a worker that was lost are queued again over this time.
+/// Delay before a task is queued again after a refused start or a loss.
+const RESTART_DELAY: Duration = Duration::from_millis(200);
+/// The tasks of a lost worker are queued again spread over this time.
 const RESTART_SPREAD: Duration = Duration::from_millis(1_000);
 
-/// What the scheduler wants done.
+/// Actions for the caller of the scheduler.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlacementAction {
     /// Start a task.
     Start {
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// Which.
+        /// The task.
         task: TaskId,
-        /// Number of the try.
+        /// Attempt number.
         attempt: Attempt,
-        /// Its reservation.
+        /// Resources reserved for it.
         need: ResourceVector,
         /// Its job.
         spec: Arc<JobSpec>,
     },
     /// Stop a task.
     Stop {
-        /// Where.
+        /// The worker.
         worker: WorkerId,
-        /// Which.
+        /// The task.
         task: TaskId,
-        /// Number of the try.
+        /// Attempt number.
         attempt: Attempt,
         /// Why.
         reason: StopReason,
     },
-    /// A task ended for good.
+    /// A task ended and is not started again.
     Ended {
-        /// Which.
+        /// The task.
         task: TaskId,
-        /// How.
+        /// How it ended.
         end: TaskEnd,
     },
-    /// All of a job's open tasks are stopped for a reason.
+    /// All unfinished tasks of a job are stopped.
     JobStopped {
-        /// Which.
+        /// The job.
         job: JobId,
         /// Why.
         reason: String,
@@ -105,10 +106,10 @@
     live: BTreeSet<TaskIndex>,
     attempts: BTreeMap<TaskIndex, Attempt>,
     preemptions: BTreeMap<TaskIndex, u32>,
-    /// Starts in a row of tasks that ended with their workers.
-    losses: BTreeMap<TaskIndex, u32>,
-    /// Tasks that were started before and are not idempotent: they never start again.
-    spent: BTreeSet<TaskIndex>,
+    /// Consecutive losses of each task soon after its start, together with its worker.
+    early_losses: BTreeMap<TaskIndex, u32>,
+    /// Tasks that are not idempotent and were started before: they never start again.
+    not_restartable: BTreeSet<TaskIndex>,
     cancelled: bool,
 }
 
@@ -124,33 +125,34 @@
     estimates: EstimateTable,
     health: HealthTable,
     delayed: BTreeSet<(Instant, TaskId)>,
-    /// Tasks on workers that belong to nothing known here.
+    /// Tasks on workers that belong to no job known here.
     strays: BTreeMap<WorkerId, BTreeSet<TaskId>>,
     quarantined: BTreeMap<WorkerId, Instant>,
     leaving: BTreeSet<WorkerId>,
-    kept: BTreeMap<TaskId, (WorkerId, Instant)>,
-    hold: Option<GangReservation>,
-    /// Tasks that may run on a worker that was not heard from yet.
-    suspects: BTreeSet<TaskId>,
+    capacity_reservations: BTreeMap<TaskId, (WorkerId, Instant)>,
+    gang_reservation: Option<GangReservation>,
+    /// Tasks that may run on a worker that has not answered this leader yet.
+    possibly_running: BTreeSet<TaskId>,
     /// Whether tasks that may move to other failure domains may start.
     movable_allowed: bool,
-    /// Tries of this leader have higher numbers.
+    /// Attempt numbers of this leader are higher than this.
     attempt_base: Attempt,
     dirty: bool,
     /// Time of day of the last pass.
-    unix: UnixMillis,
-    /// When what waits is looked at again although nothing happened: patience has its limits.
+    unix_now: UnixMillis,
+    /// When waiting tasks are reconsidered without an event, since some limits depend on the
+    /// waiting time alone.
     next_review: Option<Instant>,
     actions: Vec<PlacementAction>,
 }
 
 impl TaskScheduler {
-    /// A scheduler without workers or jobs.
+    /// Creates a scheduler without workers or jobs.
     pub fn new() -> Self {
         Self { movable_allowed: true, ..Self::default() }
     }
 
-    /// Makes the numbers of tries rise above those of all leaders with lower tokens.
+    /// Makes attempt numbers higher than those of all leaders with lower tokens.
     pub fn lead(&mut self, token: &FencingToken) {
         let round = token.round.min(MAX_ROUND);
         self.attempt_base = (token.epoch << EPOCH_SHIFT) + (round << ROUND_SHIFT);
@@ -161,22 +163,23 @@
         &self.pool
     }
 
-    /// Tasks that hold room.
+    /// Tasks that hold a reservation.
     pub fn live(&self) -> &BTreeMap<TaskId, LiveTask> {
         &self.live
     }
 
-    /// Number of tasks that wait for room.
+    /// Number of tasks that are not started yet.
     pub fn waiting(&self) -> usize {
-        self.queue.waiting() + self.delayed.len() + self.suspects.len()
+        self.queue.waiting() + self.delayed.len() + self.possibly_running.len()
     }
 
-    /// Room used by each workspace.
+    /// Resources reserved by each workspace.
     pub fn used(&self) -> &BTreeMap<WorkspaceId, ResourceVector> {
         &self.used
     }
 
-    /// Room that waiting tasks of workspaces with a bound would take here, as far as there is room.
+    /// Resources that waiting tasks of workspaces with a quota need here, limited to the free
+    /// capacity.
     pub fn quota_demand(&self) -> BTreeMap<WorkspaceId, ResourceVector> {
         let mut demand: BTreeMap<WorkspaceId, ResourceVector> = BTreeMap::new();
         let bounded =
@@ -197,12 +200,12 @@
         self.quarantined.keys()
     }
 
-    /// What is learned about run times and sizes.
+    /// Estimates of run times and reservations.
     pub fn estimates(&self) -> &EstimateTable {
         &self.estimates
     }
 
-    /// Sets the part of its quota that a workspace may use here; `None` lifts the bound.
+    /// Sets the part of its quota that a workspace may use here; `None` removes the limit.
     pub fn allow(&mut self, workspace: &WorkspaceId, part: Option<ResourceVector>) {
         let before = self.allowed.get(workspace).copied();
         match part {
@@ -218,17 +221,17 @@
         self.movable_allowed = allowed;
     }
 
-    /// Adds a worker that was claimed, with the tasks that it lists as running.
+    /// Adds a claimed worker.
     pub fn add_worker(&mut self, spec: WorkerSpec) {
         let id = spec.id.clone();
         self.pool.add(spec);
-        let open = !self.leaving.contains(&id) && !self.quarantined.contains_key(&id);
-        self.pool.set_open(&id, open);
+        let schedulable = !self.leaving.contains(&id) && !self.quarantined.contains_key(&id);
+        self.pool.set_schedulable(&id, schedulable);
         self.dirty = true;
     }
 
-    /// Notes a task that a worker runs and that this scheduler did not start: it is adopted if its
-    /// job is known and it runs nowhere else. Tells whether it was adopted.
+    /// Adopts a task that a worker runs and that this scheduler did not start, if its job is known
+    /// and it runs nowhere else. Tells whether the task belongs to this worker now.
     pub fn adopt(
         &mut self,
         now: Instant,
@@ -246,48 +249,50 @@
         if job.ended.contains(&task.1) || task.1 >= job.spec.count || job.cancelled {
             return false;
         }
-        self.suspects.remove(task);
+        self.possibly_running.remove(task);
         self.queue.remove(&task.0, task.1);
         self.delayed.retain(|(_, delayed)| delayed != task);
         job.attempts.insert(task.1, attempt);
         job.live.insert(task.1);
         let workspace = job.spec.workspace.clone();
         let run_time = self.estimates.run_time(&job.spec);
-        self.pool.note(worker, task, need);
-        let life = StagedTask::new(now, task.clone(), worker.clone(), need, attempt, run_time);
-        self.live.insert(task.clone(), LiveTask::Running(life.run(now)));
+        self.pool.record_running(worker, task, need);
+        let staged = StagedTask::new(now, task.clone(), worker.clone(), need, attempt, run_time);
+        self.live.insert(task.clone(), LiveTask::Running(staged.run(now)));
         self.charge(&workspace, need);
         true
     }
 
-    /// Notes tasks that a worker runs and that are none of ours: they hold room until they are gone.
+    /// Sets the tasks that a worker runs and that belong to no known job. They hold reservations
+    /// until the worker no longer lists them.
     pub fn set_strays(&mut self, worker: &WorkerId, strays: &[(TaskId, ResourceVector)]) {
-        let gone = |task: &TaskId| !strays.iter().any(|(stray, _)| stray == task);
+        let is_gone = |task: &TaskId| !strays.iter().any(|(stray, _)| stray == task);
         let ended: Vec<TaskId> = match self.strays.get(worker) {
-            Some(known) => known.iter().filter(|task| gone(task)).cloned().collect(),
+            Some(known) => known.iter().filter(|task| is_gone(task)).cloned().collect(),
             None => Vec::new(),
         };
         for task in ended {
             if self.live.get(&task).is_none_or(|live| live.worker() != worker) {
-                self.pool.give_back(worker, &task);
+                self.pool.deallocate(worker, &task);
                 self.dirty = true;
             }
         }
         for (task, need) in strays {
-            self.pool.note(worker, task, *need);
+            self.pool.record_running(worker, task, *need);
         }
         let tasks = strays.iter().map(|(task, _)| task.clone()).collect();
         self.strays.insert(worker.clone(), tasks);
     }
 
-    /// Takes a worker out that is lost, and deals with its tasks: all have surely ended.
+    /// Removes a lost worker, all of whose tasks are certain to have ended, and requeues or ends
+    /// them.
     pub fn remove_worker(&mut self, now: Instant, id: &WorkerId) {
         let tasks: Vec<TaskId> =
-            self.live.values().filter(|live| live.worker() == id).map(task_of).collect();
+            self.live.values().filter(|live| live.worker() == id).map(task_id).collect();
         let count = u32::try_from(tasks.len().max(1)).unwrap_or(1);
-        for (place, task) in (0..).zip(tasks) {
-            let pause = RESTART_PAUSE + RESTART_SPREAD * place / count;
-            self.lose_task(now, &task, pause);
+        for (position, task) in (0..).zip(tasks) {
+            let delay = RESTART_DELAY + RESTART_SPREAD * position / count;
+            self.handle_lost_task(now, &task, delay);
         }
         self.pool.remove(id);
         self.strays.remove(id);
@@ -295,21 +300,22 @@
         self.dirty = true;
     }
 
-    /// Opens or closes a worker because the platform lists it as leaving or not.
+    /// Sets whether the platform lists a worker as leaving. A leaving worker gets no new work.
     pub fn set_leaving(&mut self, id: &WorkerId, leaving: bool) {
         let changed = match leaving {
             true => self.leaving.insert(id.clone()),
             false => self.leaving.remove(id),
         };
         if changed {
-            let open = !leaving && !self.quarantined.contains_key(id);
-            self.pool.set_open(id, open);
+            let schedulable = !leaving && !self.quarantined.contains_key(id);
+            self.pool.set_schedulable(id, schedulable);
             self.dirty = true;
         }
     }
 
-    /// Takes a job in. `suspect` says that its tasks may run on workers not heard from yet.
-    pub fn add_job(&mut self, record: &JobRecord, suspect: bool) {
+    /// Adds a job. With `may_be_running`, its tasks may run on workers that have not answered yet and
+    /// are not queued until [`Self::clear_suspects`].
+    pub fn add_job(&mut self, record: &JobRecord, may_be_running: bool) {
         if self.jobs.contains_key(&record.spec.id) || record.is_over() {
             return;
         }
@@ -320,16 +326,16 @@
             live: BTreeSet::new(),
             attempts: BTreeMap::new(),
             preemptions: BTreeMap::new(),
-            losses: BTreeMap::new(),
-            spent: record.started.clone(),
+            early_losses: BTreeMap::new(),
+            not_restartable: record.started.clone(),
             cancelled: false,
         };
         self.jobs.insert(spec.id.clone(), job);
         let run_time = self.estimates.run_time(&spec);
         for index in record.open_tasks() {
-            match suspect {
+            match may_be_running {
                 true => {
-                    self.suspects.insert((spec.id.clone(), index));
+                    self.possibly_running.insert((spec.id.clone(), index));
                 }
                 false => self.queue.add(&spec, index, run_time),
             }
@@ -337,40 +343,41 @@
         self.dirty = true;
     }
 
-    /// The ledger shows which tasks were started under earlier leaders: those that are not idempotent
-    /// and do not run here never start again.
+    /// Takes from the ledger which tasks were started under earlier leaders. Those that are not
+    /// idempotent and do not run here never start again.
     pub fn note_started(&mut self, record: &JobRecord) {
         let id = &record.spec.id;
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.spec.idempotent) else {
             return;
         };
-        job.spent.extend(record.started.iter().copied());
-        let spent: Vec<TaskIndex> =
+        job.not_restartable.extend(record.started.iter().copied());
+        let not_restartable: Vec<TaskIndex> =
             record.started.iter().copied().filter(|index| !job.live.contains(index)).collect();
-        for index in spent {
+        for index in not_restartable {
             let task = (id.clone(), index);
             let waited = self.queue.remove(id, index);
             let delayed = self.delayed.len();
             self.delayed.retain(|(_, other)| *other != task);
             if waited || self.delayed.len() < delayed {
-                self.end(&task, TaskEnd::Unknown);
+                self.end_task(&task, TaskEnd::Unknown);
             }
         }
     }
 
-    /// Tells whether a job is known and not over.
+    /// Tells whether a job is known and has not ended.
     pub fn knows(&self, job: &JobId) -> bool {
         self.jobs.contains_key(job)
     }
 
-    /// Every worker was heard from or has surely lapsed: what was not found does not run.
+    /// Queues or ends the tasks that might have been running: every worker has answered or its
+    /// leases are certain to have expired, so tasks that were not found do not run.
     pub fn clear_suspects(&mut self) {
-        for task in std::mem::take(&mut self.suspects) {
+        for task in std::mem::take(&mut self.possibly_running) {
             let Some(job) = self.jobs.get(&task.0) else {
                 continue;
             };
-            match job.spent.contains(&task.1) {
-                true => self.end(&task, TaskEnd::Unknown),
+            match job.not_restartable.contains(&task.1) {
+                true => self.end_task(&task, TaskEnd::Unknown),
                 false => {
                     let spec = job.spec.clone();
                     let run_time = self.estimates.run_time(&spec);
@@ -381,12 +388,12 @@
         self.dirty = true;
     }
 
-    /// Number of tasks that may run on a worker not heard from.
+    /// Number of tasks that may run on a worker that has not answered yet.
     pub fn suspects(&self) -> usize {
-        self.suspects.len()
+        self.possibly_running.len()
     }
 
-    /// Cancels a job: what waits never starts, what runs is stopped.
+    /// Cancels a job: its waiting tasks never start and its running tasks are stopped.
     pub fn cancel(&mut self, id: &JobId) {
         self.stop_tasks(id, |_| true);
         if let Some(job) = self.jobs.get_mut(id) {
@@ -413,11 +420,11 @@
         self.dirty = true;
     }
 
-    /// Forgets a job that another failure domain took over; tasks of it that run here are stopped.
+    /// Drops a job that another failure domain took over; tasks of it that run here are stopped.
     pub fn drop_job(&mut self, id: &JobId) {
         self.queue.remove_job(id);
         self.delayed.retain(|(_, task)| task.0 != *id);
-        self.suspects.retain(|task| task.0 != *id);
+        self.possibly_running.retain(|task| task.0 != *id);
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
@@ -426,7 +433,7 @@
         match live.is_empty() {
             true => {
                 self.jobs.remove(id);
-                self.drop_hold(id);
+                self.drop_gang_reservation(id);
             }
             false => live.iter().for_each(|task| self.stop_task(task, StopReason::Stray)),
         }
@@ -455,13 +462,17 @@
             self.queue.remove(id, index);
             self.delayed.retain(|(_, task)| *task != (id.clone(), index));
             let ran = self.jobs.get(id).is_some_and(|job| job.attempts.contains_key(&index));
-            self.end(&(id.clone(), index), TaskEnd::Cancelled { ran });
+            self.end_task(&(id.clone(), index), TaskEnd::Cancelled { ran });
         }
-        let suspects: Vec<TaskId> =
-            self.suspects.iter().filter(|task| task.0 == *id && chosen(task.1)).cloned().collect();
-        for task in suspects {
-            self.suspects.remove(&task);
-            self.end(&task, TaskEnd::Cancelled { ran: true });
+        let possibly_running: Vec<TaskId> = self
+            .possibly_running
+            .iter()
+            .filter(|task| task.0 == *id && chosen(task.1))
+            .cloned()
+            .collect();
+        for task in possibly_running {
+            self.possibly_running.remove(&task);
+            self.end_task(&task, TaskEnd::Cancelled { ran: true });
         }
     }
 
@@ -479,24 +490,25 @@
         }
     }
 
-    /// Starts what fits and gives all actions since the last call. `unix` is the time of day.
-    pub fn pass(&mut self, now: Instant, unix: UnixMillis) -> Vec<PlacementAction> {
-        self.wake(now);
-        self.unix = unix;
+    /// Starts the waiting tasks that fit and returns all actions since the last call. `unix_now` is
+    /// the time of day.
+    pub fn pass(&mut self, now: Instant, unix_now: UnixMillis) -> Vec<PlacementAction> {
+        self.process_timers(now);
+        self.unix_now = unix_now;
         if self.dirty {
             self.dirty = false;
-            self.queue.promote(unix);
+            self.queue.promote(unix_now);
             self.place_waiting(now);
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// When time alone will make something happen next.
+    /// When the next delayed task is due to be queued again.
     pub fn next_wake(&self) -> Option<Instant> {
         self.delayed.first().map(|(at, _)| *at)
     }
 
-    fn wake(&mut self, now: Instant) {
+    fn process_timers(&mut self, now: Instant) {
         if self.next_review.is_none_or(|at| now >= at) {
             self.next_review = Some(now + REVIEW_INTERVAL);
             self.dirty |= self.queue.waiting() > 0;
@@ -506,39 +518,39 @@
                 break;
             }
             self.delayed.pop_first();
-            self.delay(now, &task, Duration::ZERO);
+            self.requeue_after(now, &task, Duration::ZERO);
         }
-        let free: Vec<WorkerId> = self
+        let released: Vec<WorkerId> = self
             .quarantined
             .iter()
             .filter(|(_, until)| **until <= now)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in free {
+        for id in released {
             self.quarantined.remove(&id);
-            self.pool.set_open(&id, !self.leaving.contains(&id));
+            self.pool.set_schedulable(&id, !self.leaving.contains(&id));
             self.dirty = true;
         }
-        let stale: Vec<TaskId> = self
-            .kept
+        let expired: Vec<TaskId> = self
+            .capacity_reservations
             .iter()
             .filter(|(_, (_, until))| *until <= now)
             .map(|(id, _)| id.clone())
             .collect();
-        for task in stale {
-            self.unkeep(&task);
+        for task in expired {
+            self.drop_capacity_reservation(&task);
             self.dirty = true;
         }
     }
 
-    fn unkeep(&mut self, task: &TaskId) {
-        if let Some((worker, _)) = self.kept.remove(task) {
-            self.pool.keep_for(&worker, None);
+    fn drop_capacity_reservation(&mut self, task: &TaskId) {
+        if let Some((worker, _)) = self.capacity_reservations.remove(task) {
+            self.pool.reserve_for(&worker, None);
         }
     }
 
-    /// When a worker is worth asking because a task on it may have ended: when it is expected to, and
-    /// then ever more rarely.
+    /// When to ask a worker next whether a task on it has ended: at the expected end of a task, and
+    /// then at growing intervals.
     pub fn next_check(&self, now: Instant, worker: &WorkerId) -> Option<Instant> {
         let tasks = self.pool.get(worker)?.tasks.keys();
         let live = tasks.filter_map(|task| {
@@ -547,16 +559,16 @@
             self.live.get(task).filter(|_| ends)
         });
         live.map(|live| match live.expected_end() {
-            end if end > now => end + LOOK_MARGIN,
+            end if end > now => end + CHECK_MARGIN,
             _ => {
                 let ran = live.ran_since().map_or(Duration::ZERO, |since| now - since);
-                now + (ran / LOOK_FRACTION).max(FIRST_LOOK)
+                now + (ran / OVERDUE_CHECK_FRACTION).max(MIN_CHECK_INTERVAL)
             }
         })
         .min()
     }
 
-    /// Why a job waits, in words.
+    /// Describes why a job waits.
     pub fn why_waiting(&self, id: &JobId) -> Option<String> {
         let queued = self.queue.get(id)?;
         let need = &queued.spec.need;
@@ -567,16 +579,16 @@
         }
     }
 
-    /// Jobs that wait, for the state dump.
+    /// Waiting jobs with their numbers of waiting tasks, for the state dump.
     pub fn waiting_jobs(&self) -> impl Iterator<Item = (&JobId, usize)> {
         self.queue.iter().map(|queued| (&queued.spec.id, queued.waiting.len()))
     }
 }
 
-fn task_of(live: &LiveTask) -> TaskId {
+fn task_id(live: &LiveTask) -> TaskId {
     match live {
-        LiveTask::Starting(life) => life.id.clone(),
-        LiveTask::Running(life) => life.id.clone(),
-        LiveTask::Stopping(life) => life.id.clone(),
+        LiveTask::Starting(staged) => staged.id.clone(),
+        LiveTask::Running(staged) => staged.id.clone(),
+        LiveTask::Stopping(staged) => staged.id.clone(),
     }
 }
--- a/src/placement/scheduler/outcomes.rs
+++ b/src/placement/scheduler/outcomes.rs
@@ -1,24 +1,25 @@
-//! What follows from how tasks end.
+//! Handling of reports about tasks: running, ended or lost.
 
 use super::*;
 
-/// Age of a run, with the lease of its worker, up to which a loss counts against its task: a lease is 10 s where the
-/// settings do not say otherwise.
-const YOUNG_LOSS: Duration = Duration::from_secs(30);
-/// Young losses in a row from which a task is given up: it crashes the workers that start it. One that runs beside such a
-/// task is started elsewhere each time.
-const MOST_LOSSES: u32 = 4;
-const LOST_REASON: &str = "its workers are lost as it starts";
+/// Time since the start of a task up to which its loss counts against the task. It includes the lease of the worker,
+/// which has to expire first: 10 s by default.
+const EARLY_LOSS_AGE: Duration = Duration::from_secs(30);
+/// Consecutive early losses after which a task fails, because it is taken to crash the workers that start it. A task that
+/// merely runs beside such a task is started on another worker each time, so it is unlikely to reach this number.
+const MAX_EARLY_LOSSES: u32 = 4;
+const CRASH_REASON: &str = "its workers are lost as it starts";
 
 impl TaskScheduler {
-    /// The worker reports that a task runs, under the try named; a later start of it is then void.
+    /// Handles a report that a task runs under the given attempt; that attempt replaces the one that
+    /// was commanded.
     pub fn task_running(&mut self, now: Instant, task: &TaskId, attempt: Attempt) {
         if let Some(live) = self.live.remove(task) {
             self.live.insert(task.clone(), live.run(now, attempt));
         }
     }
 
-    /// The worker reports that a task ended.
+    /// Handles the report of a worker that a task ended.
     pub fn task_ended(
         &mut self,
         now: Instant,
@@ -36,38 +37,44 @@
         };
         self.release(task);
         if let Some(job) = self.jobs.get_mut(&task.0) {
-            job.losses.remove(&task.1);
+            job.early_losses.remove(&task.1);
         }
         match outcome {
-            TaskOutcome::Succeeded => self.succeeded(now, &spec, task, &live, usage),
-            TaskOutcome::Failed(reason) => self.failed(now, &spec, task, worker, reason),
+            TaskOutcome::Succeeded => self.handle_success(now, &spec, task, &live, usage),
+            TaskOutcome::Failed(reason) => self.handle_failure(now, &spec, task, worker, reason),
             TaskOutcome::OverLimit => {
                 warn!("{task:?} used more than its reservation");
                 self.estimates.note_over_limit(&spec.intent);
                 match live.need() == spec.need {
-                    true => self.failed(now, &spec, task, worker, "used more than its reservation"),
-                    false => self.retry_or_end(now, &spec, task, TaskEnd::Unknown),
+                    true => self.handle_failure(
+                        now,
+                        &spec,
+                        task,
+                        worker,
+                        "used more than its reservation",
+                    ),
+                    false => self.requeue_or_end(now, &spec, task, TaskEnd::Unknown),
                 }
             }
-            TaskOutcome::Stopped => self.stopped(now, &spec, task, &live),
+            TaskOutcome::Stopped => self.handle_stopped(now, &spec, task, &live),
             TaskOutcome::Refused(reason) => {
                 info!("start of {task:?} refused on {worker}: {reason}");
                 match live.stop_reason() {
                     Some(StopReason::Cancelled) => {
                         let ran = live.ran_since().is_some();
-                        self.end(task, TaskEnd::Cancelled { ran });
+                        self.end_task(task, TaskEnd::Cancelled { ran });
                     }
-                    _ => self.delay(now, task, RESTART_PAUSE),
+                    _ => self.requeue_after(now, task, RESTART_DELAY),
                 }
             }
         }
         if !matches!(outcome, TaskOutcome::Succeeded) {
-            self.fail_gang(&spec);
+            self.stop_gang(&spec);
         }
         self.dirty = true;
     }
 
-    pub(super) fn succeeded(
+    pub(super) fn handle_success(
         &mut self,
         now: Instant,
         spec: &Arc<JobSpec>,
@@ -80,14 +87,14 @@
         self.estimates.note_success(&spec.intent, usage.run_time, usage.peak);
         match spec.kind {
             JobKind::Service if live.stop_reason() == Some(StopReason::Cancelled) => {
-                self.end(task, TaskEnd::Cancelled { ran: true });
+                self.end_task(task, TaskEnd::Cancelled { ran: true });
             }
-            JobKind::Service => self.delay(now, task, RESTART_PAUSE),
-            JobKind::Batch | JobKind::AllAtOnce => self.end(task, TaskEnd::Succeeded),
+            JobKind::Service => self.requeue_after(now, task, RESTART_DELAY),
+            JobKind::Batch | JobKind::AllAtOnce => self.end_task(task, TaskEnd::Succeeded),
         }
     }
 
-    pub(super) fn failed(
+    pub(super) fn handle_failure(
         &mut self,
         now: Instant,
         spec: &Arc<JobSpec>,
@@ -97,18 +104,18 @@
     ) {
         let verdict = self.health.note_failure(now, worker, &task.0);
         if let Some(until) = verdict.quarantine {
-            warn!("worker {worker} fails what it starts: no new work for it");
+            warn!("worker {worker} quarantined: tasks keep failing on it");
             metrics::counter!("kelplink_worker_quarantines_total").increment(1);
             self.quarantined.insert(worker.clone(), until);
-            self.pool.set_open(worker, false);
+            self.pool.set_schedulable(worker, false);
         }
         match (verdict.stop_job, spec.idempotent) {
-            (_, false) => self.end(task, TaskEnd::Failed(reason.to_owned())),
+            (_, false) => self.end_task(task, TaskEnd::Failed(reason.to_owned())),
             (true, true) if spec.kind != JobKind::Service => {
-                self.end(task, TaskEnd::Failed(reason.to_owned()));
+                self.end_task(task, TaskEnd::Failed(reason.to_owned()));
                 self.stop_job(&task.0, reason);
             }
-            _ => self.delay(now, task, verdict.pause),
+            _ => self.requeue_after(now, task, verdict.retry_delay),
         }
     }
 
@@ -118,7 +125,7 @@
         self.cancel(job);
     }
 
-    pub(super) fn stopped(
+    pub(super) fn handle_stopped(
         &mut self,
         now: Instant,
         spec: &Arc<JobSpec>,
@@ -127,21 +134,21 @@
     ) {
         match live.stop_reason() {
             Some(StopReason::Cancelled) => {
-                // The worker had started it, whether or not it was ever seen to run.
-                self.end(task, TaskEnd::Cancelled { ran: true });
+                // The worker had started the task, even if no report showed it running.
+                self.end_task(task, TaskEnd::Cancelled { ran: true });
             }
             Some(StopReason::Preempted) => {
                 if let Some(job) = self.jobs.get_mut(&task.0) {
                     *job.preemptions.entry(task.1).or_default() += 1;
                 }
-                self.delay(now, task, Duration::ZERO);
+                self.requeue_after(now, task, Duration::ZERO);
             }
-            _ => self.retry_or_end(now, spec, task, TaskEnd::Unknown),
+            _ => self.requeue_or_end(now, spec, task, TaskEnd::Unknown),
         }
     }
 
-    /// The task may have run and is gone.
-    pub(super) fn lose_task(&mut self, now: Instant, task: &TaskId, pause: Duration) {
+    /// Handles a task that may have run and was lost.
+    pub(super) fn handle_lost_task(&mut self, now: Instant, task: &TaskId, delay: Duration) {
         let Some(live) = self.live.get(task).cloned() else {
             return;
         };
@@ -150,40 +157,41 @@
             return;
         };
         match live.stop_reason() {
-            Some(StopReason::Cancelled) => self.end(task, TaskEnd::Cancelled { ran: true }),
-            _ if !spec.idempotent => self.end(task, TaskEnd::Unknown),
-            _ if self.is_lost_too_often(now, task, &live) => {
-                self.end(task, TaskEnd::Failed(LOST_REASON.to_owned()));
-                self.stop_job(&task.0, LOST_REASON);
+            Some(StopReason::Cancelled) => self.end_task(task, TaskEnd::Cancelled { ran: true }),
+            _ if !spec.idempotent => self.end_task(task, TaskEnd::Unknown),
+            _ if self.note_early_loss(now, task, &live) => {
+                self.end_task(task, TaskEnd::Failed(CRASH_REASON.to_owned()));
+                self.stop_job(&task.0, CRASH_REASON);
             }
-            _ => self.delay(now, task, pause),
+            _ => self.requeue_after(now, task, delay),
         }
-        self.fail_gang(&spec);
+        self.stop_gang(&spec);
         self.dirty = true;
     }
 
-    /// Counts the starts in a row that ended with their worker; tells whether there were too many.
-    fn is_lost_too_often(&mut self, now: Instant, task: &TaskId, live: &LiveTask) -> bool {
+    /// Counts consecutive losses of a task soon after its start, and tells whether there were too
+    /// many. A later loss resets the count.
+    fn note_early_loss(&mut self, now: Instant, task: &TaskId, live: &LiveTask) -> bool {
         let Some(job) = self.jobs.get_mut(&task.0) else {
             return false;
         };
         let age = live.since().map(|since| now.saturating_duration_since(since));
-        let losses = job.losses.entry(task.1).or_default();
-        *losses = match age {
-            Some(age) if age <= YOUNG_LOSS => *losses + 1,
+        let early_losses = job.early_losses.entry(task.1).or_default();
+        *early_losses = match age {
+            Some(age) if age <= EARLY_LOSS_AGE => *early_losses + 1,
             _ => 0,
         };
-        *losses >= MOST_LOSSES
+        *early_losses >= MAX_EARLY_LOSSES
     }
 
-    /// A task that was delivered to a worker is not there any more.
+    /// Handles a task that was delivered to a worker and is no longer listed by it.
     pub fn task_vanished(&mut self, now: Instant, worker: &WorkerId, task: &TaskId) {
         if self.live.get(task).is_some_and(|live| live.worker() == worker) {
-            self.lose_task(now, task, RESTART_PAUSE);
+            self.handle_lost_task(now, task, RESTART_DELAY);
         }
     }
 
-    pub(super) fn retry_or_end(
+    pub(super) fn requeue_or_end(
         &mut self,
         now: Instant,
         spec: &JobSpec,
@@ -191,13 +199,14 @@
         end: TaskEnd,
     ) {
         match spec.idempotent {
-            true => self.delay(now, task, RESTART_PAUSE),
-            false => self.end(task, end),
+            true => self.requeue_after(now, task, RESTART_DELAY),
+            false => self.end_task(task, end),
         }
     }
 
-    /// One task of an all-at-once job is out: its siblings stop and all start again together.
-    pub(super) fn fail_gang(&mut self, spec: &Arc<JobSpec>) {
+    /// Stops the remaining tasks of an all-at-once job after one of them ended without success; all
+    /// start again together.
+    pub(super) fn stop_gang(&mut self, spec: &Arc<JobSpec>) {
         if spec.kind != JobKind::AllAtOnce {
             return;
         }
@@ -213,27 +222,27 @@
         }
     }
 
-    pub(super) fn delay(&mut self, now: Instant, task: &TaskId, pause: Duration) {
+    pub(super) fn requeue_after(&mut self, now: Instant, task: &TaskId, delay: Duration) {
         let Some(job) = self.jobs.get(&task.0) else {
             return;
         };
         match () {
             () if job.cancelled || task.1 >= job.spec.count => {
-                self.end(task, TaskEnd::Cancelled { ran: true });
+                self.end_task(task, TaskEnd::Cancelled { ran: true });
             }
-            () if pause.is_zero() => {
+            () if delay.is_zero() => {
                 let spec = job.spec.clone();
                 let run_time = self.estimates.run_time(&spec);
                 self.queue.add(&spec, task.1, run_time);
             }
             () => {
-                self.delayed.insert((now + pause, task.clone()));
+                self.delayed.insert((now + delay, task.clone()));
             }
         }
         self.dirty = true;
     }
 
-    pub(super) fn end(&mut self, task: &TaskId, end: TaskEnd) {
+    pub(super) fn end_task(&mut self, task: &TaskId, end: TaskEnd) {
         let Some(job) = self.jobs.get_mut(&task.0) else {
             return;
         };
@@ -241,18 +250,18 @@
             job.ended.insert(task.1);
         }
         self.actions.push(PlacementAction::Ended { task: task.clone(), end });
-        let over = (0..job.spec.count).all(|index| job.ended.contains(&index));
-        if over && job.live.is_empty() {
+        let all_ended = (0..job.spec.count).all(|index| job.ended.contains(&index));
+        if all_ended && job.live.is_empty() {
             self.jobs.remove(&task.0);
             self.queue.remove_job(&task.0);
             self.health.forget_job(&task.0);
-            self.drop_hold(&task.0);
+            self.drop_gang_reservation(&task.0);
         }
     }
 
-    pub(super) fn drop_hold(&mut self, job: &JobId) {
-        if self.hold.as_ref().is_some_and(|hold| hold.job == *job) {
-            self.hold = None;
+    pub(super) fn drop_gang_reservation(&mut self, job: &JobId) {
+        if self.gang_reservation.as_ref().is_some_and(|reservation| reservation.job == *job) {
+            self.gang_reservation = None;
         }
     }
 
@@ -260,7 +269,7 @@
         let Some(live) = self.live.remove(task) else {
             return;
         };
-        self.pool.give_back(live.worker(), task);
+        self.pool.deallocate(live.worker(), task);
         if let Some(job) = self.jobs.get_mut(&task.0) {
             job.live.remove(&task.1);
             let workspace = job.spec.workspace.clone();
--- a/src/placement/scheduler/passes.rs
+++ b/src/placement/scheduler/passes.rs
@@ -1,50 +1,52 @@
-//! Which waiting task goes where.
+//! Scheduling passes: placement of waiting tasks.
 
 use super::*;
 
 /// Why a task was not placed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum PlacementFailure {
-    NoRoom,
+    NoCapacity,
     Quota,
 }
 
-/// What one pass has found out.
+/// State of one scheduling pass.
 pub(super) struct PassState {
     failures: u32,
     pub(super) victim_searches: u32,
-    /// Needs that found no room in this pass, and whether they were urgent.
-    misses: Vec<(bool, ResourceVector)>,
+    /// Reservations that did not fit in this pass, and whether they were for urgent jobs.
+    failed_needs: Vec<(bool, ResourceVector)>,
 }
 
 impl PassState {
-    /// Tells whether something no larger has already found no room.
+    /// Tells whether a reservation that is no larger has already failed to fit. Urgent jobs are always
+    /// tried.
     fn cannot_fit(&self, spec: &JobSpec, need: &ResourceVector) -> bool {
         let urgent = spec.urgency == Urgency::Now;
-        !urgent && self.misses.iter().any(|(_, missed)| missed.fits(need))
+        !urgent && self.failed_needs.iter().any(|(_, failed)| failed.fits(need))
     }
 }
 
 impl TaskScheduler {
     pub(super) fn place_waiting(&mut self, now: Instant) {
-        let mut pass = PassState { failures: 0, victim_searches: 0, misses: Vec::new() };
-        for class in CLASSES {
+        let mut pass = PassState { failures: 0, victim_searches: 0, failed_needs: Vec::new() };
+        for class in QUEUE_CLASSES {
             self.place_class(now, class, &mut pass);
         }
     }
 
-    /// Serves the workspace with the smallest dominant share first, one task at a time.
+    /// Places the jobs of one class, one task at a time, always for the workspace with the smallest
+    /// dominant share.
     pub(super) fn place_class(&mut self, now: Instant, class: QueueClass, pass: &mut PassState) {
         let total = self.pool.total();
         let share = |used: Option<&ResourceVector>| {
             used.map_or(0, |used| (used.dominant_share(&total) * 1e9) as u64)
         };
         let workspaces = self.queue.workspaces(class);
-        let mut turns: BTreeSet<(u64, WorkspaceId)> =
+        let mut workspace_order: BTreeSet<(u64, WorkspaceId)> =
             workspaces.into_iter().map(|ws| (share(self.used.get(&ws)), ws)).collect();
         let mut cursors: BTreeMap<WorkspaceId, (UnixMillis, JobId)> = BTreeMap::new();
-        while let Some((_, workspace)) = turns.pop_first() {
-            if pass.failures >= PASS_FAILURES {
+        while let Some((_, workspace)) = workspace_order.pop_first() {
+            if pass.failures >= MAX_PASS_FAILURES {
                 return;
             }
             let cursor = cursors.get(&workspace);
@@ -54,7 +56,7 @@
             if self.place_job(now, &job.1, pass).is_err() {
                 cursors.insert(workspace.clone(), job);
             }
-            turns.insert((share(self.used.get(&workspace)), workspace));
+            workspace_order.insert((share(self.used.get(&workspace)), workspace));
         }
     }
 
@@ -66,27 +68,27 @@
         pass: &mut PassState,
     ) -> std::result::Result<(), PlacementFailure> {
         let Some(queued) = self.queue.get(id) else {
-            return Err(PlacementFailure::NoRoom);
+            return Err(PlacementFailure::NoCapacity);
         };
         let spec = queued.spec.clone();
         let Some(index) = queued.waiting.first().copied() else {
-            return Err(PlacementFailure::NoRoom);
+            return Err(PlacementFailure::NoCapacity);
         };
         if spec.cut_off == crate::intent::CutOffRule::Move && !self.movable_allowed {
-            return Err(PlacementFailure::NoRoom);
+            return Err(PlacementFailure::NoCapacity);
         }
         let need = self.estimates.need(&spec);
         if spec.spread == SpreadRule::None && pass.cannot_fit(&spec, &need) {
-            return Err(PlacementFailure::NoRoom);
+            return Err(PlacementFailure::NoCapacity);
         }
         let placed = match spec.kind {
             JobKind::AllAtOnce => self.place_gang(now, &spec, need),
-            JobKind::Batch | JobKind::Service => self.place_one(now, &spec, index, need, pass),
+            JobKind::Batch | JobKind::Service => self.place_task(now, &spec, index, need, pass),
         };
-        if placed == Err(PlacementFailure::NoRoom) {
+        if placed == Err(PlacementFailure::NoCapacity) {
             pass.failures += 1;
             if spec.kind != JobKind::AllAtOnce && spec.spread == SpreadRule::None {
-                pass.misses.push((spec.urgency == Urgency::Now, need));
+                pass.failed_needs.push((spec.urgency == Urgency::Now, need));
             }
         }
         placed
@@ -100,7 +102,7 @@
         used.saturating_add(need).fits(allowed)
     }
 
-    pub(super) fn place_one(
+    pub(super) fn place_task(
         &mut self,
         now: Instant,
         spec: &Arc<JobSpec>,
@@ -112,49 +114,54 @@
             return Err(PlacementFailure::Quota);
         }
         let task = (spec.id.clone(), index);
-        match self.find(now, spec, &task, &need) {
+        match self.find_worker(now, spec, &task, &need) {
             Some(worker) => {
-                self.begin(now, spec, &task, worker, need);
+                self.start_task(now, spec, &task, worker, need);
                 Ok(())
             }
             None => {
-                if spec.urgency == Urgency::Now && !self.kept.contains_key(&task) {
+                if spec.urgency == Urgency::Now && !self.capacity_reservations.contains_key(&task) {
                     self.preempt(now, &task, &need, pass);
                 }
-                Err(PlacementFailure::NoRoom)
+                Err(PlacementFailure::NoCapacity)
             }
         }
     }
 
-    pub(super) fn find(
+    pub(super) fn find_worker(
         &self,
         now: Instant,
         spec: &JobSpec,
         task: &TaskId,
         need: &ResourceVector,
     ) -> Option<WorkerId> {
-        let end = now + self.estimates.run_time(spec);
-        let waited = self.unix.saturating_sub(spec.accepted);
-        let strands = spec.urgency == Urgency::Now || waited > STRAND_PATIENCE_MS;
-        let held =
-            self.hold.as_ref().filter(|hold| hold.job != spec.id && spec.urgency != Urgency::Now);
-        let fine = |worker: &PoolWorker| {
+        let expected_end = now + self.estimates.run_time(spec);
+        let waited = self.unix_now.saturating_sub(spec.accepted);
+        let may_strand_accelerators = spec.urgency == Urgency::Now || waited > STRAND_WAIT_MS;
+        let other_reservation = self
+            .gang_reservation
+            .as_ref()
+            .filter(|reservation| reservation.job != spec.id && spec.urgency != Urgency::Now);
+        let usable = |worker: &PoolWorker| {
             let id = &worker.spec.id;
-            let probation = self.health.probe_runs(id, now);
-            !probation && held.is_none_or(|hold| hold.admits(now, id, end))
+            let probing = self.health.is_probe_running(id, now);
+            !probing
+                && other_reservation
+                    .is_none_or(|reservation| reservation.allows(now, id, expected_end))
+        };
+        let untried = |worker: &PoolWorker| {
+            usable(worker) && !self.health.failed_on(&worker.spec.id, &spec.id)
         };
-        let fresh =
-            |worker: &PoolWorker| fine(worker) && !self.health.failed_on(&worker.spec.id, &spec.id);
         match spec.spread {
             SpreadRule::None => self
                 .pool
-                .find_tightest(task, need, strands, fresh)
-                .or_else(|| self.pool.find_tightest(task, need, strands, fine)),
+                .find_tightest(task, need, may_strand_accelerators, untried)
+                .or_else(|| self.pool.find_tightest(task, need, may_strand_accelerators, usable)),
             SpreadRule::Rack | SpreadRule::FailureDomain => {
                 let siblings = self.siblings(&spec.id);
                 self.pool
-                    .find_spread(task, need, &siblings, fresh)
-                    .or_else(|| self.pool.find_spread(task, need, &siblings, fine))
+                    .find_spread(task, need, &siblings, untried)
+                    .or_else(|| self.pool.find_spread(task, need, &siblings, usable))
             }
         }
     }
@@ -171,7 +178,7 @@
         siblings
     }
 
-    pub(super) fn begin(
+    pub(super) fn start_task(
         &mut self,
         now: Instant,
         spec: &Arc<JobSpec>,
@@ -179,14 +186,16 @@
         worker: WorkerId,
         need: ResourceVector,
     ) {
-        let free = !self.live.contains_key(task);
-        if !invariant::holds(free, "one place", || format!("{task:?} already holds room")) {
+        let unplaced = !self.live.contains_key(task);
+        if !invariant::holds(unplaced, "one place", || {
+            format!("{task:?} already holds a reservation")
+        }) {
             return;
         }
-        if !self.pool.take(&worker, task, need) {
+        if !self.pool.allocate(&worker, task, need) {
             return;
         }
-        self.unkeep(task);
+        self.drop_capacity_reservation(task);
         self.queue.remove(&task.0, task.1);
         self.charge(&spec.workspace, need);
         let run_time = self.estimates.run_time(spec);
@@ -197,77 +206,80 @@
         *last = (*last).max(self.attempt_base) + 1;
         let attempt = *last;
         job.live.insert(task.1);
-        let life = StagedTask::new(now, task.clone(), worker.clone(), need, attempt, run_time);
-        self.live.insert(task.clone(), LiveTask::Starting(life));
+        let staged = StagedTask::new(now, task.clone(), worker.clone(), need, attempt, run_time);
+        self.live.insert(task.clone(), LiveTask::Starting(staged));
         self.health.note_start(&worker, now);
         let (task, spec) = (task.clone(), spec.clone());
         self.actions.push(PlacementAction::Start { worker, task, attempt, need, spec });
     }
 
-    /// Starts all tasks of a job or none; one that does not fit may hold workers back.
+    /// Starts all tasks of a job or none; if they do not fit, workers may be reserved for the job.
     pub(super) fn place_gang(
         &mut self,
         now: Instant,
         spec: &Arc<JobSpec>,
         need: ResourceVector,
     ) -> std::result::Result<(), PlacementFailure> {
-        let open: Vec<TaskIndex> = match self.jobs.get(&spec.id) {
+        let unfinished: Vec<TaskIndex> = match self.jobs.get(&spec.id) {
             Some(job) => (0..spec.count).filter(|index| !job.ended.contains(index)).collect(),
-            None => return Err(PlacementFailure::NoRoom),
+            None => return Err(PlacementFailure::NoCapacity),
         };
         let waiting = self.queue.get(&spec.id).map_or(0, |queued| queued.waiting.len());
-        if waiting < open.len() {
-            return Err(PlacementFailure::NoRoom);
+        if waiting < unfinished.len() {
+            return Err(PlacementFailure::NoCapacity);
         }
-        let count = u32::try_from(open.len()).unwrap_or(u32::MAX);
+        let count = u32::try_from(unfinished.len()).unwrap_or(u32::MAX);
         if !self.within_quota(spec, &need.times(count)) {
             return Err(PlacementFailure::Quota);
         }
-        let mut taken = Vec::new();
-        for index in &open {
+        let mut allocated = Vec::new();
+        for index in &unfinished {
             let task = (spec.id.clone(), *index);
-            match self.find(now, spec, &task, &need) {
-                Some(worker) if self.pool.take(&worker, &task, need) => taken.push((task, worker)),
+            match self.find_worker(now, spec, &task, &need) {
+                Some(worker) if self.pool.allocate(&worker, &task, need) => {
+                    allocated.push((task, worker))
+                }
                 _ => break,
             }
         }
-        for (task, worker) in &taken {
-            self.pool.give_back(worker, task);
+        for (task, worker) in &allocated {
+            self.pool.deallocate(worker, task);
         }
-        if taken.len() < open.len() {
-            self.hold_for(now, spec, need, count);
-            return Err(PlacementFailure::NoRoom);
+        if allocated.len() < unfinished.len() {
+            self.reserve_workers(now, spec, need, count);
+            return Err(PlacementFailure::NoCapacity);
         }
-        self.drop_hold(&spec.id);
-        for (task, worker) in taken {
-            self.begin(now, spec, &task, worker, need);
+        self.drop_gang_reservation(&spec.id);
+        for (task, worker) in allocated {
+            self.start_task(now, spec, &task, worker, need);
         }
         Ok(())
     }
 
-    pub(super) fn hold_for(
+    pub(super) fn reserve_workers(
         &mut self,
         now: Instant,
         spec: &JobSpec,
         need: ResourceVector,
         count: u32,
     ) {
-        if self.hold.is_some() {
+        if self.gang_reservation.is_some() {
             return;
         }
-        let ends = |worker: &PoolWorker| {
-            let mut end = now;
-            let mut room = worker.spec.capacity;
-            for (task, held) in &worker.tasks {
+        let availability = |worker: &PoolWorker| {
+            let mut free_at = now;
+            let mut capacity = worker.spec.capacity;
+            for (task, reserved) in &worker.tasks {
                 let job = self.jobs.get(&task.0);
-                let lasting = job.is_none_or(|job| job.spec.kind == JobKind::Service);
+                let runs_forever = job.is_none_or(|job| job.spec.kind == JobKind::Service);
                 match self.live.get(task) {
-                    Some(live) if !lasting => end = end.max(live.expected_end()),
-                    _ => room = room.saturating_sub(held),
+                    Some(live) if !runs_forever => free_at = free_at.max(live.expected_end()),
+                    _ => capacity = capacity.saturating_sub(reserved),
                 }
             }
-            (end, room)
+            (free_at, capacity)
         };
-        self.hold = GangReservation::plan(spec.id.clone(), &need, count, &self.pool, ends);
+        self.gang_reservation =
+            GangReservation::plan(spec.id.clone(), &need, count, &self.pool, availability);
     }
 }
--- a/src/placement/scheduler/preemption.rs
+++ b/src/placement/scheduler/preemption.rs
@@ -1,10 +1,11 @@
-//! Room for urgent work that does not fit.
+//! Preemption for urgent tasks that do not fit.
 
 use super::passes::PassState;
 use super::*;
 
 impl TaskScheduler {
-    /// Stops the cheapest tasks whose room an urgent task needs and keeps the room for it.
+    /// Stops the tasks on one worker whose preemption costs least and frees enough for an urgent task,
+    /// and reserves the freed capacity for it.
     pub(super) fn preempt(
         &mut self,
         now: Instant,
@@ -12,19 +13,19 @@
         need: &ResourceVector,
         pass: &mut PassState,
     ) {
-        if pass.victim_searches >= PASS_VICTIM_SEARCHES {
+        if pass.victim_searches >= MAX_PASS_VICTIM_SEARCHES {
             return;
         }
         pass.victim_searches += 1;
-        let sets = self.pool.iter().filter(|worker| worker.open && worker.kept_for.is_none());
+        let sets = self.pool.iter().filter(|worker| worker.open && worker.reserved_for.is_none());
         let sets = sets.filter(|worker| need.fits(&worker.spec.capacity));
         let sets =
             sets.filter_map(|worker| pick_victims(now, worker, need, self.victims_on(worker)));
         let Some(set) = sets.min_by(|a: &VictimSet, b| a.cost.total_cmp(&b.cost)) else {
             return;
         };
-        self.pool.keep_for(&set.worker, Some(task.clone()));
-        self.kept.insert(task.clone(), (set.worker, now + RESERVATION_TIME));
+        self.pool.reserve_for(&set.worker, Some(task.clone()));
+        self.capacity_reservations.insert(task.clone(), (set.worker, now + RESERVATION_TIME));
         for victim in set.tasks {
             metrics::counter!("kelplink_preemptions_total").increment(1);
             self.stop_task(&victim, StopReason::Preempted);
@@ -39,14 +40,16 @@
     pub(super) fn victim(&self, task: &TaskId) -> Option<VictimCandidate> {
         let job = self.jobs.get(&task.0)?;
         let preempted = job.preemptions.get(&task.1).copied().unwrap_or(0);
-        let spared = job.spec.kind != JobKind::Batch
+        let protected = job.spec.kind != JobKind::Batch
             || job.spec.urgency == Urgency::Now
             || !job.spec.idempotent
             || preempted >= MAX_PREEMPTIONS;
         match self.live.get(task) {
-            Some(LiveTask::Running(life)) if !spared => {
-                Some(VictimCandidate { id: task.clone(), need: life.need, since: life.stage.since })
-            }
+            Some(LiveTask::Running(staged)) if !protected => Some(VictimCandidate {
+                id: task.clone(),
+                need: staged.need,
+                since: staged.stage.since,
+            }),
             _ => None,
         }
     }
--- a/src/placement/task.rs
+++ b/src/placement/task.rs
@@ -1,4 +1,4 @@
-//! The life of a task that holds room on a worker.
+//! Stages of a task that holds a reservation on a worker.
 
 use std::time::Duration;
 
@@ -15,58 +15,58 @@
 pub enum StopReason {
     /// Its job was cancelled or its intent changed.
     Cancelled,
-    /// Urgent work needs the room; it is checkpointed and queued again.
+    /// Urgent work needs its capacity; the task is checkpointed and queued again.
     Preempted,
     /// Not all tasks of its job could start.
     GangFailed,
-    /// Its worker leaves.
+    /// Its worker is leaving.
     Leaving,
-    /// It does not belong here.
+    /// It belongs to no job of this failure domain.
     Stray,
 }
 
-/// A start was commanded and not yet seen.
+/// Stage of a task whose start was commanded and not confirmed yet.
 #[derive(Clone, Debug)]
 pub struct StartingTask {
     /// When it was commanded.
     pub since: Instant,
 }
 
-/// It runs.
+/// Stage of a running task.
 #[derive(Clone, Debug)]
 pub struct RunningTask {
-    /// When it was first seen to run.
+    /// When a report first showed it running.
     pub since: Instant,
 }
 
-/// A stop was commanded and its end not yet seen.
+/// Stage of a task whose stop was commanded and whose end was not reported yet.
 #[derive(Clone, Debug)]
 pub struct StoppingTask {
-    /// Why.
+    /// Why it is being stopped.
     pub reason: StopReason,
-    /// When it had started, if it was seen to run.
+    /// When a report first showed it running, if any did.
     pub ran_since: Option<Instant>,
 }
 
-/// A task in one stage of its life; each transition takes the earlier stage.
+/// A task in one stage; each transition consumes the value of the earlier stage.
 #[derive(Clone, Debug)]
 pub struct StagedTask<S> {
     /// The task.
     pub id: TaskId,
-    /// Where it is.
+    /// The worker that holds its reservation.
     pub worker: WorkerId,
-    /// Room that it holds on the worker.
+    /// Resources reserved for it on the worker.
     pub need: ResourceVector,
-    /// Number of this try to run it.
+    /// Attempt number.
     pub attempt: Attempt,
     /// When it is expected to end.
     pub expected_end: Instant,
-    /// What only this stage knows.
+    /// Data of this stage.
     pub stage: S,
 }
 
 impl<S> StagedTask<S> {
-    fn with<T>(self, stage: T) -> StagedTask<T> {
+    fn with_stage<T>(self, stage: T) -> StagedTask<T> {
         StagedTask {
             id: self.id,
             worker: self.worker,
@@ -79,7 +79,7 @@
 }
 
 impl StagedTask<StartingTask> {
-    /// Begins: room is taken and the start commanded.
+    /// Creates a task whose reservation is made and whose start is commanded.
     pub(crate) fn new(
         now: Instant,
         id: TaskId,
@@ -92,26 +92,26 @@
         Self { id, worker, need, attempt, expected_end: now + run_time, stage }
     }
 
-    /// The worker reports that it runs.
+    /// Moves to the running stage after a report of the worker.
     pub(crate) fn run(self, since: Instant) -> StagedTask<RunningTask> {
-        self.with(RunningTask { since })
+        self.with_stage(RunningTask { since })
     }
 
-    /// A stop is commanded before it was seen to run.
+    /// Moves to the stopping stage before any report showed the task running.
     pub(crate) fn stop(self, reason: StopReason) -> StagedTask<StoppingTask> {
-        self.with(StoppingTask { reason, ran_since: None })
+        self.with_stage(StoppingTask { reason, ran_since: None })
     }
 }
 
 impl StagedTask<RunningTask> {
-    /// A stop is commanded.
+    /// Moves to the stopping stage.
     pub(crate) fn stop(self, reason: StopReason) -> StagedTask<StoppingTask> {
         let ran_since = Some(self.stage.since);
-        self.with(StoppingTask { reason, ran_since })
+        self.with_stage(StoppingTask { reason, ran_since })
     }
 }
 
-/// A task that holds room, in whichever stage.
+/// A task that holds a reservation, in any stage.
 #[derive(Clone, Debug)]
 pub enum LiveTask {
     /// Start commanded.
@@ -123,64 +123,65 @@
 }
 
 impl LiveTask {
-    /// Where it holds room.
+    /// The worker that holds its reservation.
     pub fn worker(&self) -> &WorkerId {
         match self {
-            Self::Starting(life) => &life.worker,
-            Self::Running(life) => &life.worker,
-            Self::Stopping(life) => &life.worker,
+            Self::Starting(staged) => &staged.worker,
+            Self::Running(staged) => &staged.worker,
+            Self::Stopping(staged) => &staged.worker,
         }
     }
 
-    /// Room that it holds.
+    /// Resources reserved for it.
     pub fn need(&self) -> ResourceVector {
         match self {
-            Self::Starting(life) => life.need,
-            Self::Running(life) => life.need,
-            Self::Stopping(life) => life.need,
+            Self::Starting(staged) => staged.need,
+            Self::Running(staged) => staged.need,
+            Self::Stopping(staged) => staged.need,
         }
     }
 
     /// When it is expected to end.
     pub fn expected_end(&self) -> Instant {
         match self {
-            Self::Starting(life) => life.expected_end,
-            Self::Running(life) => life.expected_end,
-            Self::Stopping(life) => life.expected_end,
+            Self::Starting(staged) => staged.expected_end,
+            Self::Running(staged) => staged.expected_end,
+            Self::Stopping(staged) => staged.expected_end,
         }
     }
 
-    /// Number of this try.
+    /// Attempt number.
     pub fn attempt(&self) -> Attempt {
         match self {
-            Self::Starting(life) => life.attempt,
-            Self::Running(life) => life.attempt,
-            Self::Stopping(life) => life.attempt,
+            Self::Starting(staged) => staged.attempt,
+            Self::Running(staged) => staged.attempt,
+            Self::Stopping(staged) => staged.attempt,
         }
     }
 
-    /// When it was first seen to run.
+    /// When a report first showed it running.
     pub fn ran_since(&self) -> Option<Instant> {
         match self {
             Self::Starting(_) => None,
-            Self::Running(life) => Some(life.stage.since),
-            Self::Stopping(life) => life.stage.ran_since,
+            Self::Running(staged) => Some(staged.stage.since),
+            Self::Stopping(staged) => staged.stage.ran_since,
         }
     }
 
-    /// When it was started, or first seen to run; for one that is being stopped, only if it was seen to run.
+    /// When its start was commanded or a report first showed it running; for a task that is being
+    /// stopped, only the latter.
     pub fn since(&self) -> Option<Instant> {
         match self {
-            Self::Starting(life) => Some(life.stage.since),
-            Self::Running(life) => Some(life.stage.since),
-            Self::Stopping(life) => life.stage.ran_since,
+            Self::Starting(staged) => Some(staged.stage.since),
+            Self::Running(staged) => Some(staged.stage.since),
+            Self::Stopping(staged) => staged.stage.ran_since,
         }
     }
 
     /// Why it is being stopped.
     pub fn stop_reason(&self) -> Option<StopReason> {
         match self {
-            Self::Stopping(life) => Some(life.stage.reason),
+            Self::Stopping(staged) => Some(staged.stage.reason),
             _ => None,
         }
     }
@@ -194,19 +195,19 @@
         }
     }
 
-    /// Commands a stop; a stop already commanded stands.
+    /// Moves to the stopping stage; a stop that was commanded before keeps its reason.
     pub(crate) fn stop(self, reason: StopReason) -> Self {
         match self {
-            Self::Starting(life) => Self::Stopping(life.stop(reason)),
-            Self::Running(life) => Self::Stopping(life.stop(reason)),
+            Self::Starting(staged) => Self::Stopping(staged.stop(reason)),
+            Self::Running(staged) => Self::Stopping(staged.stop(reason)),
             stopping @ Self::Stopping(_) => stopping,
         }
     }
 
-    /// Notes that the worker reports it as running.
+    /// Moves a starting task to the running stage, with the attempt that the worker reported.
     pub(crate) fn run(self, since: Instant, attempt: Attempt) -> Self {
         match self {
-            Self::Starting(life) => Self::Running(StagedTask { attempt, ..life.run(since) }),
+            Self::Starting(staged) => Self::Running(StagedTask { attempt, ..staged.run(since) }),
             other => other,
         }
     }
