--- a/src/routing.rs
+++ b/src/routing.rs
@@ -1,8 +1,8 @@
-//! Which request of a caller goes to which upstream slot, and when.
+//! Routing of callers' requests to upstream slots.
 //!
 //! The leader of a failure domain holds the [`ShareTable`]: it leases shares of each upstream's
 //! slots to the entries of the domain. Each entry holds a [`RequestRouter`] that gives its shares to
-//! requests without asking anybody.
+//! requests without further calls.
 
 mod budget;
 mod report;
--- a/src/routing/budget.rs
+++ b/src/routing/budget.rs
@@ -1,11 +1,11 @@
-//! Keeps retries to a fraction of the successes.
+//! A budget that limits retries to a fraction of the successful attempts.
 
 /// Retries allowed for each success.
-const FRACTION: f64 = 0.1;
-/// Retries that may be saved up.
-const MOST: f64 = 10.0;
+const RETRIES_PER_SUCCESS: f64 = 0.1;
+/// Most retries that the budget can hold.
+const MAX_BALANCE: f64 = 10.0;
 
-/// Allows a retry for every ten successes.
+/// Allows one retry for every ten successes. It starts full.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     balance: f64,
@@ -13,17 +13,17 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { balance: MOST }
+        Self { balance: MAX_BALANCE }
     }
 }
 
 impl RetryBudget {
-    /// Notes a success.
+    /// Adds the part of a retry that a success earns.
     pub fn earn(&mut self) {
-        self.balance = (self.balance + FRACTION).min(MOST);
+        self.balance = (self.balance + RETRIES_PER_SUCCESS).min(MAX_BALANCE);
     }
 
-    /// Takes one retry out and tells whether there was one.
+    /// Takes one retry out of the budget and tells whether there was one.
     pub fn spend(&mut self) -> bool {
         let allowed = self.balance >= 1.0;
         if allowed {
--- a/src/routing/report.rs
+++ b/src/routing/report.rs
@@ -1,4 +1,4 @@
-//! What entries and the leader tell each other about slots.
+//! Messages between entries and the leader about upstream slots.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,35 +17,35 @@
     pub id: UpstreamId,
     /// The service it answers for.
     pub service: ServiceId,
-    /// Where it is.
+    /// Its address.
     pub address: SocketAddr,
     /// Requests that it works on at a time.
     pub slots: u32,
 }
 
-/// What an entry holds of one upstream.
+/// Slots of one upstream that an entry holds.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct ShareHolding {
-    /// Slots that it may use.
+    /// Slots that the entry may use.
     pub share: u32,
-    /// Slots that it uses.
+    /// Slots that the entry uses.
     pub in_use: u32,
 }
 
-/// An entry tells the leader what it holds and needs.
+/// Report of an entry to the leader about the slots it holds and needs.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct DemandReport {
     /// The entry.
     pub entry: EntryId,
-    /// Which start of the entry.
+    /// Number of the process start of the entry.
     pub boot: u64,
     /// Number of the report.
     pub seq: u64,
-    /// Leader whose grants it follows.
+    /// Leader whose grants it applies.
     pub token: Option<FencingToken>,
-    /// Last grant that it applied of that leader.
+    /// Version of the last grant of that leader that it applied.
     pub applied: u64,
     /// Upstreams of which it holds or uses slots.
     pub holdings: BTreeMap<UpstreamId, ShareHolding>,
@@ -59,14 +59,14 @@
 pub struct ShareGrant {
     /// The leader.
     pub token: FencingToken,
-    /// Report that it answers; the shares' time starts when that was sent.
+    /// Number of the report that it answers; the time to live counts from the sending of that report.
     pub answers: u64,
-    /// Number of the grant; rises when shares change.
+    /// Version of the grant; it rises when the shares or the upstreams change.
     pub version: u64,
     /// How long shares may be used.
     pub ttl: Duration,
-    /// Slots by upstream; `None` leaves them as in the grant of the same version.
+    /// Slots by upstream; `None` if the entry has applied this version already.
     pub shares: Option<BTreeMap<UpstreamId, u32>>,
-    /// All upstreams of the domain; `None` when the entry knows them.
+    /// All upstreams of the failure domain; `None` if the entry has the current list.
     pub upstreams: Option<Vec<UpstreamSpec>>,
 }
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,6 +1,6 @@
-//! Gives an entry's shares of slots to the requests of its callers.
+//! Assigns an entry's shares of upstream slots to the requests of its callers.
 
-mod supply;
+mod grants;
 mod waiting;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,29 +16,29 @@
 use crate::settings::TimingSettings;
 use crate::token::FencingToken;
 
-/// Service time assumed before one was seen.
-const FIRST_SERVICE_TIME: Duration = Duration::from_millis(50);
+/// Service time assumed before one was measured.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(50);
 /// Weight of a new service time in the running mean.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
-/// Failures in a row after which an upstream gets no requests for a while.
+/// Consecutive failures after which an upstream is ejected: it gets no requests for a while.
 const EJECT_FAILURES: u32 = 3;
-/// First time without requests; it doubles.
+/// Length of the first ejection; it doubles with each one that follows.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
-/// Longest time without requests.
-const LONGEST_EJECTION: Duration = Duration::from_secs(15);
-/// Reports whose time of sending is remembered.
-const REMEMBERED_REPORTS: usize = 64;
-/// Part of the time left that the expected wait may take.
+/// Longest ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(15);
+/// Reports whose time of sending is kept.
+const MAX_SENT_REPORTS: usize = 64;
+/// Part of the time left to the deadline that the expected wait may take.
 const WAIT_FRACTION: f64 = 0.8;
-/// Shortest advice on when to come back.
-const LEAST_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Longest advice on when to come back.
-const MOST_RETRY_AFTER: Duration = Duration::from_secs(30);
+/// Shortest time after which a rejected caller is told to retry.
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Longest time after which a rejected caller is told to retry.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(30);
 
-/// Number of a request in its entry.
+/// Number of a request, unique within its entry.
 pub type RequestId = u64;
 
-/// A request that wants a slot.
+/// A request for a slot.
 #[derive(Clone, Debug)]
 pub struct SlotRequest {
     /// Its number.
@@ -49,20 +49,21 @@
     pub workspace: WorkspaceId,
     /// Rank of its urgency; lower is more urgent.
     pub rank: u8,
-    /// When the caller stops waiting.
+    /// When the caller gives up.
     pub deadline: Instant,
 }
 
 /// Why a request gets no slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RejectReason {
-    /// Nothing answers for this service in this failure domain.
+    /// The service has no upstream in this failure domain.
     NoUpstream,
-    /// It would wait longer than its caller does.
+    /// The expected wait is too long for the deadline.
     Overloaded,
-    /// It gave way to a more urgent request.
+    /// The queue was full, and the request was the least urgent of the workspace with the most
+    /// waiting requests.
     Displaced,
-    /// Its caller's time is over.
+    /// The deadline of the caller has passed.
     DeadlinePassed,
 }
 
@@ -71,22 +72,22 @@
 pub enum RouteAction {
     /// Send it to this upstream.
     Send(RequestId, UpstreamSpec),
-    /// Answer that it was not run and when to come back.
+    /// Answer that it was not run, and after which time to retry.
     Reject(RequestId, RejectReason, Duration),
 }
 
 /// How an attempt at an upstream ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteOutcome {
-    /// A whole answer came.
+    /// A complete answer arrived.
     Answered,
     /// The upstream failed, or no connection could be made.
     Failed,
-    /// The caller left or its time was over; says nothing about the upstream.
+    /// The caller left or its deadline passed; this is no evidence about the upstream.
     Abandoned,
 }
 
-type WaitKey = (u8, Instant, RequestId);
+type WaitingKey = (u8, Instant, RequestId);
 
 #[derive(Debug)]
 struct UpstreamState {
@@ -96,7 +97,7 @@
     failures: u32,
     ejections: u32,
     ejected_until: Option<Instant>,
-    /// Whether the leader lists it; one that it does not list is kept while requests are in flight.
+    /// Whether the leader lists it; an unlisted upstream is kept while requests are in flight.
     listed: bool,
 }
 
@@ -125,16 +126,16 @@
 #[derive(Debug)]
 struct ServiceState {
     upstreams: BTreeMap<UpstreamId, UpstreamState>,
-    waiting: BTreeMap<WaitKey, SlotRequest>,
-    /// Number of those that wait, by rank.
+    waiting: BTreeMap<WaitingKey, SlotRequest>,
+    /// Number of waiting requests by rank.
     ranks: BTreeMap<u8, usize>,
     service_time: Duration,
     in_use: u32,
 }
 
 impl ServiceState {
-    /// Tells whether some listed upstream answers for it.
-    fn answers(&self) -> bool {
+    /// Tells whether the service has a listed upstream.
+    fn has_listed_upstream(&self) -> bool {
         self.upstreams.values().any(|upstream| upstream.listed)
     }
 }
@@ -145,7 +146,7 @@
             upstreams: BTreeMap::new(),
             waiting: BTreeMap::new(),
             ranks: BTreeMap::new(),
-            service_time: FIRST_SERVICE_TIME,
+            service_time: INITIAL_SERVICE_TIME,
             in_use: 0,
         }
     }
@@ -160,7 +161,7 @@
     waiting: usize,
     services: BTreeMap<ServiceId, ServiceState>,
     /// The service that each upstream answers for.
-    homes: BTreeMap<UpstreamId, ServiceId>,
+    service_by_upstream: BTreeMap<UpstreamId, ServiceId>,
     waiting_by_workspace: BTreeMap<WorkspaceId, usize>,
     leaving: BTreeSet<UpstreamId>,
     token: Option<FencingToken>,
@@ -173,7 +174,8 @@
 }
 
 impl RequestRouter {
-    /// A router without shares. `boot` tells this start of the process from earlier ones.
+    /// Creates a router without shares. `boot` distinguishes this start of the process from earlier
+    /// ones.
     pub fn new(entry: EntryId, boot: u64, waiting_limit: usize, timing: TimingSettings) -> Self {
         Self {
             entry,
@@ -181,7 +183,7 @@
             waiting_limit,
             waiting: 0,
             services: BTreeMap::new(),
-            homes: BTreeMap::new(),
+            service_by_upstream: BTreeMap::new(),
             waiting_by_workspace: BTreeMap::new(),
             leaving: BTreeSet::new(),
             token: None,
@@ -194,39 +196,39 @@
         }
     }
 
-    /// Tells whether it was ever given slots.
+    /// Tells whether any grant was ever applied.
     pub fn supplied(&self) -> bool {
         self.token.is_some()
     }
 
-    /// Tells whether its shares hold now.
+    /// Tells whether its shares are valid now.
     pub fn holds_shares(&self, now: Instant) -> bool {
         self.shares_until.is_some_and(|until| now < until)
     }
 
-    /// Number of requests that wait.
+    /// Number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
     /// Number of requests that use a slot.
     pub fn in_use(&self) -> u32 {
-        self.all().map(|upstream| upstream.in_use).sum()
+        self.all_upstreams().map(|upstream| upstream.in_use).sum()
     }
 
-    /// Longest life of one attempt.
+    /// Time limit of one attempt.
     pub fn attempt_limit(&self) -> Duration {
         self.timing.attempt_limit
     }
 
-    /// Slots that it may be using now, by upstream; for checks over several entries.
+    /// Slots that this entry may be using now, by upstream; for checks over several entries.
     pub fn slots_in_reach(&self, now: Instant) -> BTreeMap<UpstreamId, u32> {
         let holds = self.holds_shares(now);
         let reach = |state: &UpstreamState| match holds {
             true => state.share.max(state.in_use),
             false => state.in_use,
         };
-        self.all().map(|state| (state.spec.id.clone(), reach(state))).collect()
+        self.all_upstreams().map(|state| (state.spec.id.clone(), reach(state))).collect()
     }
 
     /// Takes one retry out of the budget and tells whether there was one.
@@ -234,13 +236,13 @@
         self.budget.spend()
     }
 
-    /// Free slots by service, for entries that look for room.
+    /// Free slots by service, for other entries that look for free slots.
     pub fn free_slots(&self, now: Instant) -> BTreeMap<ServiceId, u32> {
         let mut free = BTreeMap::new();
         if self.shares_until.is_none_or(|until| now >= until) {
             return free;
         }
-        for upstream in self.all().filter(|upstream| upstream.listed) {
+        for upstream in self.all_upstreams().filter(|upstream| upstream.listed) {
             let slots = upstream.free(now);
             if slots > 0 && !self.leaving.contains(&upstream.spec.id) {
                 *free.entry(upstream.spec.service.clone()).or_default() += slots;
@@ -249,50 +251,50 @@
         free
     }
 
-    /// Takes the upstreams that the platform lists as leaving: they get no new requests.
+    /// Sets the upstreams that the platform lists as leaving: they get no new requests.
     pub fn set_leaving(&mut self, leaving: BTreeSet<UpstreamId>) {
         self.leaving = leaving;
     }
 
-    /// A request arrives. It is sent, rejected, or waits (no action).
-    pub fn route_request(&mut self, now: Instant, ticket: SlotRequest) -> Vec<RouteAction> {
-        let Some(service) = self.services.get(&ticket.service) else {
+    /// Handles a new request: it is sent, rejected, or waits (no action).
+    pub fn route_request(&mut self, now: Instant, request: SlotRequest) -> Vec<RouteAction> {
+        let Some(service) = self.services.get(&request.service) else {
             return vec![RouteAction::Reject(
-                ticket.id,
+                request.id,
                 RejectReason::NoUpstream,
-                LEAST_RETRY_AFTER,
+                MIN_RETRY_AFTER,
             )];
         };
-        if !service.answers() {
+        if !service.has_listed_upstream() {
             return vec![RouteAction::Reject(
-                ticket.id,
+                request.id,
                 RejectReason::NoUpstream,
-                LEAST_RETRY_AFTER,
+                MIN_RETRY_AFTER,
             )];
         }
         let first = service.waiting.is_empty();
-        if first && let Some(spec) = self.choose(now, &ticket.service) {
-            return self.send(now, &ticket, spec).into_iter().collect();
+        if first && let Some(spec) = self.choose_upstream(now, &request.service) {
+            return self.send(now, &request, spec).into_iter().collect();
         }
-        let wait = self.expected_wait(service, &ticket);
-        let left = ticket.deadline.saturating_duration_since(now);
-        if wait > left.mul_f64(WAIT_FRACTION) {
-            let advice = retry_after(wait);
-            return vec![RouteAction::Reject(ticket.id, RejectReason::Overloaded, advice)];
+        let wait = self.expected_wait(service, &request);
+        let time_left = request.deadline.saturating_duration_since(now);
+        if wait > time_left.mul_f64(WAIT_FRACTION) {
+            let after = retry_after(wait);
+            return vec![RouteAction::Reject(request.id, RejectReason::Overloaded, after)];
         }
-        self.enqueue(ticket);
-        self.shed()
+        self.enqueue(request);
+        self.shed_excess()
     }
 
-    /// The upstream with the smallest part of its share in use.
-    fn choose(&self, now: Instant, service: &ServiceId) -> Option<UpstreamSpec> {
+    /// The usable upstream with the smallest part of its share in use.
+    fn choose_upstream(&self, now: Instant, service: &ServiceId) -> Option<UpstreamSpec> {
         if self.shares_until.is_none_or(|until| now >= until) {
             return None;
         }
         let service = self.services.get(service)?;
         let usable = service.upstreams.values().filter(|upstream| {
-            let stays = self.leaving.is_empty() || !self.leaving.contains(&upstream.spec.id);
-            upstream.listed && stays && upstream.free(now) > 0
+            let remains = self.leaving.is_empty() || !self.leaving.contains(&upstream.spec.id);
+            upstream.listed && remains && upstream.free(now) > 0
         });
         let best = usable.min_by_key(|upstream| upstream.in_use * 1_024 / upstream.share.max(1));
         best.map(|upstream| upstream.spec.clone())
@@ -301,26 +303,29 @@
     fn send(
         &mut self,
         now: Instant,
-        ticket: &SlotRequest,
+        request: &SlotRequest,
         spec: UpstreamSpec,
     ) -> Option<RouteAction> {
         let service = self.services.get_mut(&spec.service)?;
         let upstream = service.upstreams.get_mut(&spec.id)?;
-        let within = upstream.in_use < upstream.share && upstream.in_use < upstream.spec.slots;
-        if !invariant::holds(within, "slots", || format!("{} over its share", spec.id)) {
+        let has_free_slot =
+            upstream.in_use < upstream.share && upstream.in_use < upstream.spec.slots;
+        if !invariant::holds(has_free_slot, "slots", || {
+            format!("requests in flight to {} would exceed its share", spec.id)
+        }) {
             return None;
         }
         upstream.in_use += 1;
         if let Some(until) = upstream.ejected_until
             && now >= until
         {
-            debug!("{} is tried again", spec.id);
+            debug!("{} gets requests again after its ejection", spec.id);
         }
         service.in_use += 1;
-        Some(RouteAction::Send(ticket.id, spec))
+        Some(RouteAction::Send(request.id, spec))
     }
 
-    /// An attempt ended: its slot goes to the next request.
+    /// Handles the end of an attempt; its slot goes to the next waiting request.
     pub fn finish(
         &mut self,
         now: Instant,
@@ -344,46 +349,49 @@
                 state.failures += 1;
                 if state.failures >= EJECT_FAILURES {
                     let pause = FIRST_EJECTION.saturating_mul(1 << state.ejections.min(8));
-                    state.ejected_until = Some(now + pause.min(LONGEST_EJECTION));
+                    state.ejected_until = Some(now + pause.min(MAX_EJECTION));
                     state.ejections += 1;
                 }
             }
             RouteOutcome::Abandoned => {}
         }
-        if let Some(found) = self.services.get_mut(&service) {
-            found.in_use = found.in_use.saturating_sub(1);
+        if let Some(service_state) = self.services.get_mut(&service) {
+            service_state.in_use = service_state.in_use.saturating_sub(1);
             if outcome == RouteOutcome::Answered {
-                found.service_time = found.service_time.mul_f64(1.0 - SERVICE_TIME_WEIGHT)
-                    + time.mul_f64(SERVICE_TIME_WEIGHT);
+                service_state.service_time =
+                    service_state.service_time.mul_f64(1.0 - SERVICE_TIME_WEIGHT)
+                        + time.mul_f64(SERVICE_TIME_WEIGHT);
             }
         }
-        self.drop_unlisted(upstream);
-        self.serve(now, &service)
+        self.remove_unlisted(upstream);
+        self.dispatch_waiting(now, &service)
     }
 
-    /// Forgets an upstream that is not listed any more and has nothing in flight.
-    fn drop_unlisted(&mut self, id: &UpstreamId) {
-        let done = self.upstream_mut(id).is_some_and(|state| !state.listed && state.in_use == 0);
-        let home = self.homes.get(id).filter(|_| done).cloned();
-        if let Some(service) = home.and_then(|home| self.services.get_mut(&home)) {
+    /// Removes an upstream that is not listed any more and has no requests in flight.
+    fn remove_unlisted(&mut self, id: &UpstreamId) {
+        let removable =
+            self.upstream_mut(id).is_some_and(|state| !state.listed && state.in_use == 0);
+        let service_id = self.service_by_upstream.get(id).filter(|_| removable).cloned();
+        if let Some(service) = service_id.and_then(|service_id| self.services.get_mut(&service_id))
+        {
             service.upstreams.remove(id);
-            self.homes.remove(id);
+            self.service_by_upstream.remove(id);
         }
     }
 
-    fn all(&self) -> impl Iterator<Item = &UpstreamState> {
+    fn all_upstreams(&self) -> impl Iterator<Item = &UpstreamState> {
         self.services.values().flat_map(|service| service.upstreams.values())
     }
 
     fn upstream_mut(&mut self, id: &UpstreamId) -> Option<&mut UpstreamState> {
-        let home = self.homes.get(id)?;
-        self.services.get_mut(home)?.upstreams.get_mut(id)
+        let service_id = self.service_by_upstream.get(id)?;
+        self.services.get_mut(service_id)?.upstreams.get_mut(id)
     }
 
-    /// Lets time pass: rejects what waited too long.
+    /// Rejects waiting requests whose deadline has passed, and sends others if slots are free.
     pub fn tick(&mut self, now: Instant) -> Vec<RouteAction> {
         let mut actions = Vec::new();
-        let overdue_keys: Vec<(ServiceId, WaitKey)> = self
+        let expired_keys: Vec<(ServiceId, WaitingKey)> = self
             .services
             .iter()
             .flat_map(|(id, service)| {
@@ -391,9 +399,9 @@
                 keys.map(|key| (id.clone(), *key)).collect::<Vec<_>>()
             })
             .collect();
-        for (service, key) in overdue_keys {
-            if let Some(ticket) = self.dequeue(&service, &key) {
-                actions.push(overdue(ticket.id));
+        for (service, key) in expired_keys {
+            if let Some(request) = self.dequeue(&service, &key) {
+                actions.push(reject_overdue(request.id));
             }
         }
         let waiting: Vec<ServiceId> = self
@@ -403,21 +411,21 @@
             .map(|(id, _)| id.clone())
             .collect();
         for service in waiting {
-            actions.extend(self.serve(now, &service));
+            actions.extend(self.dispatch_waiting(now, &service));
         }
         actions
     }
 
-    /// Tells whether some upstream here answers for a service.
+    /// Tells whether a service has a listed upstream.
     pub fn serves(&self, service: &ServiceId) -> bool {
-        self.services.get(service).is_some_and(ServiceState::answers)
+        self.services.get(service).is_some_and(ServiceState::has_listed_upstream)
     }
 }
 
-fn overdue(id: RequestId) -> RouteAction {
-    RouteAction::Reject(id, RejectReason::DeadlinePassed, LEAST_RETRY_AFTER)
+fn reject_overdue(id: RequestId) -> RouteAction {
+    RouteAction::Reject(id, RejectReason::DeadlinePassed, MIN_RETRY_AFTER)
 }
 
 fn retry_after(wait: Duration) -> Duration {
-    wait.clamp(LEAST_RETRY_AFTER, MOST_RETRY_AFTER)
+    wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
--- a/src/routing/router/supply.rs
+++ b/src/routing/router/grants.rs
@@ -1,23 +1,24 @@
-//! Asking for slots and taking what the leader grants.
+//! Reports to the leader and its grants of slots.
 
 use super::*;
 
 impl RequestRouter {
-    /// The report that asks the leader for shares.
+    /// Creates the next report to the leader, which asks for shares.
     pub fn report(&mut self, now: Instant) -> DemandReport {
         self.seq += 1;
         self.sent.insert(self.seq, now);
-        while self.sent.len() > REMEMBERED_REPORTS {
+        while self.sent.len() > MAX_SENT_REPORTS {
             self.sent.pop_first();
         }
-        let held = self.all().filter(|state| state.share > 0 || state.in_use > 0);
-        let holdings = held
+        let used_upstreams =
+            self.all_upstreams().filter(|state| state.share > 0 || state.in_use > 0);
+        let holdings = used_upstreams
             .map(|state| {
                 let holding = ShareHolding { share: state.share, in_use: state.in_use };
                 (state.spec.id.clone(), holding)
             })
             .collect();
-        let busy = self.services.iter().map(|(id, service)| {
+        let demand = self.services.iter().map(|(id, service)| {
             let waiting = u32::try_from(service.waiting.len()).unwrap_or(u32::MAX);
             (id.clone(), service.in_use.saturating_add(waiting))
         });
@@ -28,11 +29,11 @@
             token: self.token.clone(),
             applied: self.applied,
             holdings,
-            demand: busy.filter(|(_, count)| *count > 0).collect(),
+            demand: demand.filter(|(_, count)| *count > 0).collect(),
         }
     }
 
-    /// Applies a grant; grants of lower leaders and old ones are ignored.
+    /// Applies a grant; grants of leaders with lower tokens and outdated grants are ignored.
     pub fn apply(&mut self, now: Instant, grant: &ShareGrant) -> Vec<RouteAction> {
         let Some(sent) = self.sent.get(&grant.answers).copied() else {
             return Vec::new();
@@ -50,7 +51,7 @@
             }
         }
         if let Some(upstreams) = &grant.upstreams {
-            self.list(upstreams);
+            self.replace_upstreams(upstreams);
         }
         match &grant.shares {
             Some(shares) => {
@@ -68,11 +69,11 @@
         self.tick(now)
     }
 
-    pub(super) fn list(&mut self, upstreams: &[UpstreamSpec]) {
+    pub(super) fn replace_upstreams(&mut self, upstreams: &[UpstreamSpec]) {
         let services = self.services.values_mut();
         services.flat_map(|service| service.upstreams.values_mut()).for_each(|u| u.listed = false);
         for spec in upstreams {
-            let before = self.homes.insert(spec.id.clone(), spec.service.clone());
+            let before = self.service_by_upstream.insert(spec.id.clone(), spec.service.clone());
             if let Some(before) = before.filter(|before| *before != spec.service)
                 && let Some(service) = self.services.get_mut(&before)
             {
@@ -86,9 +87,9 @@
             state.spec = spec.clone();
             state.listed = true;
         }
-        let ids: Vec<UpstreamId> = self.homes.keys().cloned().collect();
+        let ids: Vec<UpstreamId> = self.service_by_upstream.keys().cloned().collect();
         for id in ids {
-            self.drop_unlisted(&id);
+            self.remove_unlisted(&id);
         }
         self.services
             .retain(|_, s| !s.upstreams.is_empty() || !s.waiting.is_empty() || s.in_use > 0);
--- a/src/routing/shares.rs
+++ b/src/routing/shares.rs
@@ -1,4 +1,4 @@
-//! The leader's books on the slots of each upstream.
+//! The leader's record of the shares of upstream slots that entries hold.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,17 +12,17 @@
 use crate::token::FencingToken;
 
 #[derive(Debug, Default)]
-struct EntryBook {
-    /// Whether it was heard from under the leader's token.
-    heard: bool,
+struct EntryState {
+    /// Whether it has sent a report to this leader.
+    has_reported: bool,
     boot: u64,
-    /// Last report seen.
+    /// Number of its last report.
     seq: u64,
     /// Whether it has applied the last grant.
     acknowledged: bool,
     version: u64,
     granted: BTreeMap<UpstreamId, u32>,
-    /// The most it may hold of each upstream until it acknowledges.
+    /// The most slots of each upstream that it may hold until it acknowledges the last grant.
     outstanding: BTreeMap<UpstreamId, u32>,
     demand: BTreeMap<ServiceId, u32>,
     last_grant: Option<Instant>,
@@ -32,31 +32,32 @@
 
 /// Leases shares of upstream slots to entries.
 ///
-/// At no time may the shares that entries could be using add up to more than an upstream's slots.
-/// What an entry could be using is its last acknowledged share or the requests it still has in
-/// flight, and everything that was granted since.
+/// The shares that entries could be using never add up to more than the slots of an upstream. An
+/// entry could be using its last acknowledged share, the requests it still has in flight, and
+/// everything that was granted since; the largest of these counts.
 #[derive(Debug)]
 pub struct ShareTable {
     timing: TimingSettings,
     token: FencingToken,
     since: Instant,
     /// Entries of the domain, all of which may hold shares.
-    entries: BTreeMap<EntryId, EntryBook>,
+    entries: BTreeMap<EntryId, EntryState>,
     upstreams: BTreeMap<UpstreamId, UpstreamSpec>,
     upstreams_version: u64,
-    /// Whether only the even split may be granted, because the lease in the store does not hold.
+    /// Whether only the even split may be granted, because the lease in the store is not held.
     detached: bool,
 }
 
 impl ShareTable {
-    /// Books of a new leader: what entries hold is unknown until they report or it has lapsed.
+    /// Creates the table of a new leader. The shares that entries hold are unknown until the entries
+    /// report or those shares have expired.
     pub fn new(
         now: Instant,
         token: FencingToken,
         entries: impl IntoIterator<Item = EntryId>,
         timing: TimingSettings,
     ) -> Self {
-        let entries = entries.into_iter().map(|entry| (entry, EntryBook::default())).collect();
+        let entries = entries.into_iter().map(|entry| (entry, EntryState::default())).collect();
         Self {
             timing,
             token,
@@ -88,82 +89,82 @@
         self.upstreams.values()
     }
 
-    /// The process of an entry is surely gone, and with it all that it held.
+    /// Clears the shares of an entry whose process has certainly ended.
     pub fn forget_entry(&mut self, entry: &EntryId) {
-        if let Some(book) = self.entries.get_mut(entry) {
-            *book = EntryBook { heard: true, acknowledged: true, ..EntryBook::default() };
+        if let Some(state) = self.entries.get_mut(entry) {
+            *state = EntryState { has_reported: true, acknowledged: true, ..EntryState::default() };
         }
     }
 
-    /// Takes a report and answers it.
+    /// Handles a report and returns the grant that answers it.
     pub fn report(&mut self, now: Instant, report: &DemandReport) -> Option<ShareGrant> {
-        let book = self.entries.get(&report.entry)?;
-        if (report.boot, report.seq) < (book.boot, book.seq) {
+        let state = self.entries.get(&report.entry)?;
+        if (report.boot, report.seq) < (state.boot, state.seq) {
             return None;
         }
         self.expire(now, report);
-        self.note(report);
+        self.record_report(report);
         self.grant(now, &report.entry, report.seq)
     }
 
-    /// An entry that comes back after its shares have lapsed starts from nothing.
+    /// Clears the shares of an entry that reports after they have expired.
     fn expire(&mut self, now: Instant, report: &DemandReport) {
-        let lapse = self.lapse();
-        if let Some(book) = self.entries.get_mut(&report.entry)
-            && book.last_grant.is_some_and(|at| now >= at + lapse)
+        let max_share_age = self.lapse();
+        if let Some(state) = self.entries.get_mut(&report.entry)
+            && state.last_grant.is_some_and(|at| now >= at + max_share_age)
         {
-            book.granted.clear();
-            book.outstanding.clear();
-            book.version += 1;
-            book.acknowledged = true;
+            state.granted.clear();
+            state.outstanding.clear();
+            state.version += 1;
+            state.acknowledged = true;
         }
     }
 
-    fn note(&mut self, report: &DemandReport) {
-        let own = report.token.as_ref() == Some(&self.token);
-        let Some(book) = self.entries.get_mut(&report.entry) else {
+    fn record_report(&mut self, report: &DemandReport) {
+        let own_leader = report.token.as_ref() == Some(&self.token);
+        let Some(state) = self.entries.get_mut(&report.entry) else {
             return;
         };
-        if book.boot != report.boot && book.heard {
-            let upstreams_sent = book.upstreams_sent;
-            *book = EntryBook { upstreams_sent, ..EntryBook::default() };
-            book.upstreams_known = 0;
+        if state.boot != report.boot && state.has_reported {
+            let upstreams_sent = state.upstreams_sent;
+            *state = EntryState { upstreams_sent, ..EntryState::default() };
+            state.upstreams_known = 0;
         }
-        (book.boot, book.seq) = (report.boot, report.seq);
-        book.demand.clone_from(&report.demand);
-        if !book.heard || !own {
-            book.heard = true;
+        (state.boot, state.seq) = (report.boot, report.seq);
+        state.demand.clone_from(&report.demand);
+        if !state.has_reported || !own_leader {
+            state.has_reported = true;
             let held = |holding: &ShareHolding| holding.share.max(holding.in_use);
             for (id, holding) in &report.holdings {
-                let most = book.outstanding.entry(id.clone()).or_default();
-                *most = (*most).max(held(holding));
+                let upper_bound = state.outstanding.entry(id.clone()).or_default();
+                *upper_bound = (*upper_bound).max(held(holding));
             }
             return;
         }
-        if report.applied == book.version {
-            book.acknowledged = true;
-            book.upstreams_known = book.upstreams_sent;
-            book.outstanding.clone_from(&book.granted);
+        if report.applied == state.version {
+            state.acknowledged = true;
+            state.upstreams_known = state.upstreams_sent;
+            state.outstanding.clone_from(&state.granted);
             for (id, holding) in &report.holdings {
-                let most = book.outstanding.entry(id.clone()).or_default();
-                *most = (*most).max(holding.in_use);
+                let upper_bound = state.outstanding.entry(id.clone()).or_default();
+                *upper_bound = (*upper_bound).max(holding.in_use);
             }
         }
     }
 
-    /// The most that an entry may be using of an upstream.
+    /// The most slots of an upstream that an entry may be using.
     fn outstanding(&self, now: Instant, entry: &EntryId, spec: &UpstreamSpec) -> u32 {
-        let Some(book) = self.entries.get(entry) else {
+        let Some(state) = self.entries.get(entry) else {
             return 0;
         };
-        let lapse = self.timing.share_ttl + self.timing.attempt_limit;
-        match book {
-            book if !book.heard && now < self.since + lapse => spec.slots,
-            book if !book.heard => self.even_share(entry, spec),
-            book => {
-                let last = book.last_grant.unwrap_or(self.since);
-                match now < last + lapse {
-                    true => book.outstanding.get(&spec.id).copied().unwrap_or(0),
+        let max_share_age = self.timing.share_ttl + self.timing.attempt_limit;
+        match state {
+            state if !state.has_reported && now < self.since + max_share_age => spec.slots,
+            state if !state.has_reported => self.even_share(entry, spec),
+            state => {
+                let last = state.last_grant.unwrap_or(self.since);
+                match now < last + max_share_age {
+                    true => state.outstanding.get(&spec.id).copied().unwrap_or(0),
                     false => 0,
                 }
             }
@@ -173,54 +174,54 @@
     /// The share that an entry gets when slots are split evenly.
     fn even_share(&self, entry: &EntryId, spec: &UpstreamSpec) -> u32 {
         let count = u32::try_from(self.entries.len().max(1)).unwrap_or(1);
-        let place = self.entries.keys().position(|other| other == entry).unwrap_or(0);
+        let position = self.entries.keys().position(|other| other == entry).unwrap_or(0);
         let rest = spec.slots % count;
-        spec.slots / count + u32::from(u32::try_from(place).unwrap_or(u32::MAX) < rest)
+        spec.slots / count + u32::from(u32::try_from(position).unwrap_or(u32::MAX) < rest)
     }
 
     fn grant(&mut self, now: Instant, entry: &EntryId, answers: u64) -> Option<ShareGrant> {
-        let book = self.entries.get(entry)?;
-        let fresh = book.acknowledged || book.version == 0;
-        let shares = match fresh {
+        let state = self.entries.get(entry)?;
+        let may_change = state.acknowledged || state.version == 0;
+        let shares = match may_change {
             true => self.wanted_shares(now, entry),
-            false => book.granted.clone(),
+            false => state.granted.clone(),
         };
-        let checked = self.within_slots(now, entry, &shares);
+        let fits_slots = self.within_slots(now, entry, &shares);
         let token = self.token.clone();
         let ttl = self.timing.share_ttl;
         let upstreams_version = self.upstreams_version;
         let specs: Vec<UpstreamSpec> = self.upstreams.values().cloned().collect();
-        let book = self.entries.get_mut(entry)?;
-        if !checked {
+        let state = self.entries.get_mut(entry)?;
+        if !fits_slots {
             return None;
         }
-        let changed = fresh && (shares != book.granted || book.version == 0);
-        let stale = book.upstreams_known != upstreams_version;
-        if changed || (fresh && stale) {
-            book.version += 1;
-            book.acknowledged = false;
+        let changed = may_change && (shares != state.granted || state.version == 0);
+        let stale = state.upstreams_known != upstreams_version;
+        if changed || (may_change && stale) {
+            state.version += 1;
+            state.acknowledged = false;
             for (id, share) in &shares {
-                let most = book.outstanding.entry(id.clone()).or_default();
-                *most = (*most).max(*share);
+                let upper_bound = state.outstanding.entry(id.clone()).or_default();
+                *upper_bound = (*upper_bound).max(*share);
             }
-            book.granted = shares;
+            state.granted = shares;
         }
-        let send = !book.acknowledged;
+        let send = !state.acknowledged;
         if send {
-            book.upstreams_sent = upstreams_version;
+            state.upstreams_sent = upstreams_version;
         }
-        book.last_grant = Some(now);
+        state.last_grant = Some(now);
         Some(ShareGrant {
             token,
             answers,
-            version: book.version,
+            version: state.version,
             ttl,
-            shares: send.then(|| book.granted.clone()),
+            shares: send.then(|| state.granted.clone()),
             upstreams: (send && stale).then_some(specs),
         })
     }
 
-    /// Checks the sum of what entries may be using after a grant.
+    /// Checks that the slots that entries may be using after a grant fit the slots of each upstream.
     fn within_slots(
         &self,
         now: Instant,
@@ -244,11 +245,11 @@
             let others = self.entries.keys().filter(|other| *other != entry);
             let held: u32 = others.map(|other| self.outstanding(now, other, spec)).sum();
             let free = spec.slots.saturating_sub(held);
-            let target = match self.detached {
+            let wanted = match self.detached {
                 true => self.even_share(entry, spec),
-                false => self.target(now, entry, spec),
+                false => self.demand_share(now, entry, spec),
             };
-            let share = target.min(free);
+            let share = wanted.min(free);
             if share > 0 {
                 shares.insert(spec.id.clone(), share);
             }
@@ -256,35 +257,38 @@
         shares
     }
 
-    /// Splits slots by demand; each live entry counts as having at least one request.
-    fn target(&self, now: Instant, entry: &EntryId, spec: &UpstreamSpec) -> u32 {
-        let alive = |book: &EntryBook| {
-            book.heard && book.last_grant.is_none_or(|at| now < at + self.timing.share_ttl * 2)
+    /// The share of an entry when slots are split by demand. Each live entry has a weight of one plus
+    /// four times its demand, so none gets a weight of zero.
+    fn demand_share(&self, now: Instant, entry: &EntryId, spec: &UpstreamSpec) -> u32 {
+        let is_live = |state: &EntryState| {
+            state.has_reported
+                && state.last_grant.is_none_or(|at| now < at + self.timing.share_ttl * 2)
         };
-        let live = self.entries.iter().filter(|(other, book)| *other == entry || alive(book));
+        let live = self.entries.iter().filter(|(other, state)| *other == entry || is_live(state));
         let weights: Vec<(&EntryId, u64)> = live
-            .map(|(other, book)| {
-                (other, 1 + 4 * u64::from(book.demand.get(&spec.service).copied().unwrap_or(0)))
+            .map(|(other, state)| {
+                (other, 1 + 4 * u64::from(state.demand.get(&spec.service).copied().unwrap_or(0)))
             })
             .collect();
         let total: u64 = weights.iter().map(|(_, weight)| weight).sum();
         let slots = u64::from(spec.slots);
-        let floor = |weight: u64| slots * weight / total.max(1);
-        let rest = slots - weights.iter().map(|(_, weight)| floor(*weight)).sum::<u64>();
-        let mut order: Vec<_> = weights.clone();
-        order.sort_by_key(|(other, weight)| (std::cmp::Reverse(slots * weight % total), *other));
-        let lucky: BTreeSet<_> = order
+        let whole_slots = |weight: u64| slots * weight / total.max(1);
+        let rest = slots - weights.iter().map(|(_, weight)| whole_slots(*weight)).sum::<u64>();
+        let mut by_remainder: Vec<_> = weights.clone();
+        by_remainder
+            .sort_by_key(|(other, weight)| (std::cmp::Reverse(slots * weight % total), *other));
+        let rounded_up: BTreeSet<_> = by_remainder
             .iter()
             .take(usize::try_from(rest).unwrap_or(0))
             .map(|(other, _)| *other)
             .collect();
-        let own =
+        let own_weight =
             weights.iter().find(|(other, _)| *other == entry).map_or(0, |(_, weight)| *weight);
-        let share = floor(own) + u64::from(lucky.contains(entry));
+        let share = whole_slots(own_weight) + u64::from(rounded_up.contains(entry));
         u32::try_from(share).unwrap_or(spec.slots)
     }
 
-    /// Longest time that a share survives its entry.
+    /// Time after which a share that is not renewed is certain to be out of use.
     pub fn lapse(&self) -> Duration {
         self.timing.share_ttl + self.timing.attempt_limit
     }
