--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,8 +1,8 @@
 //! The leader's exchanges with the workers of its failure domain.
 //!
-//! A worker is claimed before it is used: its highest token is raised to ours and it lists its
-//! tasks. Every later request carries the time on the worker's own clock after which it is refused,
-//! worked out from the worker's last answer, so that a request that was held up anywhere cannot take
+//! A worker is claimed before it is used: its highest token is raised to the leader's and it lists
+//! its tasks. Every later request carries the time on the worker's own clock after which the worker
+//! refuses it. That time is derived from the worker's last answer, so a delayed request cannot take
 //! effect late.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,28 +17,28 @@
 use crate::token::FencingToken;
 use crate::worker::{TaskReport, WorkerCommand, WorkerReply, WorkerRequest};
 
-/// Added to every bound on another machine's clock.
+/// Safety margin on times at which leases on other machines expire.
 const CLOCK_MARGIN: Duration = Duration::from_millis(500);
-/// Pause before a worker that did not answer is tried again.
+/// Delay before a worker that did not answer is asked again.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Commands in one exchange.
+/// Most new commands in one exchange.
 const MAX_COMMANDS: usize = 256;
 
-/// Number of one exchange.
+/// Number of an exchange.
 pub type ExchangeId = u64;
 
-/// What the fleet wants done or tells.
+/// Actions and events for the caller of the fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FleetOutput {
-    /// Send this request and bring the reply back under the number.
+    /// Send this request and pass the reply to [`WorkerFleet::reply`] with the number.
     Exchange {
         /// Number of the exchange.
         id: ExchangeId,
         /// The worker.
         worker: WorkerId,
-        /// Where it is.
+        /// Its address.
         address: SocketAddr,
-        /// What to send.
+        /// The request.
         request: WorkerRequest,
     },
     /// A worker was claimed and lists its tasks.
@@ -47,25 +47,25 @@
     Listed(WorkerId, Vec<TaskReport>),
     /// A task that was delivered is not listed any more.
     Vanished(WorkerId, TaskId),
-    /// A worker refused us for a higher token.
+    /// A worker has seen a higher token than that of this leader.
     Outranked(FencingToken),
-    /// A worker does not answer, or answers again.
+    /// A worker does not answer (`true`), or answers again (`false`).
     Silent(WorkerId, bool),
-    /// All tasks that this leader started on the worker have surely ended.
+    /// All tasks that this leader started on the worker are certain to have ended.
     LeaseExpired(WorkerId),
 }
 
 #[derive(Debug)]
-enum WorkerLink {
+enum ClaimState {
     /// It has to be claimed before it is used.
     Unclaimed,
-    /// It answers to our token.
+    /// It has accepted this leader's token.
     Claimed {
         /// Its clock in its last answer.
         clock: Duration,
         /// When that answer arrived.
-        heard: Instant,
-        /// Which start of the worker answered.
+        answered_at: Instant,
+        /// Number of the process start of the worker that answered.
         boot: u64,
     },
 }
@@ -80,22 +80,22 @@
 struct FleetMember {
     spec: WorkerSpec,
     address: SocketAddr,
-    link: WorkerLink,
+    claim_state: ClaimState,
     pending: Option<PendingExchange>,
-    /// Commands that were sent and may or may not have arrived.
-    unsure: Vec<WorkerCommand>,
-    /// Commands that were never sent.
+    /// Commands that were sent and are not known to have arrived; they are sent again.
+    unconfirmed: Vec<WorkerCommand>,
+    /// Commands that were not sent yet.
     commands: Vec<WorkerCommand>,
-    due: Instant,
-    /// Until when a lease that we gave may hold.
-    lapses: Instant,
-    /// Tries that the worker has taken note of and that are not forgotten.
+    next_exchange_at: Instant,
+    /// Latest time until which a lease granted by this leader may last.
+    lease_end: Instant,
+    /// Attempts that the worker is known to have and was not told to forget.
     delivered: BTreeMap<TaskId, Attempt>,
     silent: bool,
-    /// When the platform stopped to list it.
-    gone: Option<Instant>,
-    /// Whether its tasks are known to have ended although it was not claimed.
-    lapsed: bool,
+    /// When the platform stopped listing it.
+    unlisted_since: Option<Instant>,
+    /// Whether every lease on it is certain to have expired, so that its tasks have ended.
+    lease_expired: bool,
 }
 
 /// Exchanges with all workers of a failure domain.
@@ -109,12 +109,12 @@
 }
 
 impl WorkerFleet {
-    /// A fleet that knows no worker.
+    /// Creates a fleet without workers.
     pub fn new(timing: TimingSettings) -> Self {
         Self { timing, token: None, members: BTreeMap::new(), next_exchange: 0, listed: false }
     }
 
-    /// Number of workers known.
+    /// Number of known workers.
     pub fn len(&self) -> usize {
         self.members.len()
     }
@@ -124,90 +124,95 @@
         self.members.is_empty()
     }
 
-    /// Tells whether the platform's list was seen.
+    /// Tells whether the platform's list of workers was received.
     pub fn listed(&self) -> bool {
         self.listed
     }
 
-    /// Number of workers claimed.
+    /// Number of claimed workers.
     pub fn claimed(&self) -> usize {
-        self.members.values().filter(|m| matches!(m.link, WorkerLink::Claimed { .. })).count()
+        self.members
+            .values()
+            .filter(|m| matches!(m.claim_state, ClaimState::Claimed { .. }))
+            .count()
     }
 
-    /// Tells whether every worker was heard from, or has no tasks left for sure.
+    /// Tells whether every worker is claimed or is certain to have no tasks left.
     pub fn resolved(&self) -> bool {
-        let settled = |m: &FleetMember| m.lapsed || matches!(m.link, WorkerLink::Claimed { .. });
-        self.listed && self.members.values().all(settled)
+        let is_resolved = |m: &FleetMember| {
+            m.lease_expired || matches!(m.claim_state, ClaimState::Claimed { .. })
+        };
+        self.listed && self.members.values().all(is_resolved)
     }
 
-    /// Starts to lead: all workers have to be claimed under the token.
+    /// Starts leading: all workers have to be claimed under the token.
     pub fn lead(&mut self, now: Instant, token: FencingToken) {
         self.token = Some(token);
         for member in self.members.values_mut() {
-            member.link = WorkerLink::Unclaimed;
+            member.claim_state = ClaimState::Unclaimed;
             member.pending = None;
-            member.unsure.clear();
+            member.unconfirmed.clear();
             member.delivered.clear();
-            member.due = now;
-            member.lapsed = false;
+            member.next_exchange_at = now;
+            member.lease_expired = false;
             member.silent = false;
         }
     }
 
-    /// Stops to lead: nothing more is sent.
+    /// Stops leading: nothing more is sent.
     pub fn follow(&mut self) {
         self.token = None;
         for member in self.members.values_mut() {
-            member.unsure.clear();
+            member.unconfirmed.clear();
             member.commands.clear();
         }
     }
 
-    /// Takes the platform's list of this domain's workers.
+    /// Updates the workers from the platform's list for this failure domain.
     pub fn list(&mut self, now: Instant, workers: &[(WorkerSpec, SocketAddr)]) {
         self.listed = true;
         let names: BTreeSet<&WorkerId> = workers.iter().map(|(spec, _)| &spec.id).collect();
         for member in self.members.values_mut() {
             match names.contains(&member.spec.id) {
-                true => member.gone = None,
-                false => member.gone = member.gone.or(Some(now)),
+                true => member.unlisted_since = None,
+                false => member.unlisted_since = member.unlisted_since.or(Some(now)),
             }
         }
         for (spec, address) in workers {
-            let lapses = now;
+            let lease_end = now;
             let member = self.members.entry(spec.id.clone()).or_insert_with(|| FleetMember {
                 spec: spec.clone(),
                 address: *address,
-                link: WorkerLink::Unclaimed,
+                claim_state: ClaimState::Unclaimed,
                 pending: None,
-                unsure: Vec::new(),
+                unconfirmed: Vec::new(),
                 commands: Vec::new(),
-                due: now,
-                lapses,
+                next_exchange_at: now,
+                lease_end,
                 delivered: BTreeMap::new(),
                 silent: false,
-                gone: None,
-                lapsed: false,
+                unlisted_since: None,
+                lease_expired: false,
             });
             member.address = *address;
         }
     }
 
-    /// Hands a command to a worker; it goes out with the next exchange.
+    /// Queues a command for a worker; it is sent with the next exchange.
     pub fn command(&mut self, worker: &WorkerId, command: WorkerCommand) {
         if let Some(member) = self.members.get_mut(worker) {
             member.commands.push(command);
         }
     }
 
-    /// Asks a worker no later than at the given time.
+    /// Schedules an exchange with a worker no later than at the given time.
     pub fn look_at(&mut self, worker: &WorkerId, at: Instant) {
         if let Some(member) = self.members.get_mut(worker) {
-            member.due = member.due.min(at);
+            member.next_exchange_at = member.next_exchange_at.min(at);
         }
     }
 
-    /// Tells whether a start waits that was never sent.
+    /// Tells whether the start of a task is queued and was not sent yet.
     pub fn start_waits(&self, worker: &WorkerId, wanted: &TaskId) -> bool {
         let commands = self.members.get(worker).into_iter().flat_map(|member| &member.commands);
         commands
@@ -215,7 +220,7 @@
             .any(|command| matches!(command, WorkerCommand::Start { task, .. } if task == wanted))
     }
 
-    /// Takes a start back that was never sent and tells whether it did.
+    /// Removes the queued start of a task that was not sent yet, and tells whether there was one.
     pub fn withdraw(&mut self, worker: &WorkerId, wanted: &TaskId) -> bool {
         let Some(member) = self.members.get_mut(worker) else {
             return false;
@@ -226,26 +231,38 @@
         before > member.commands.len()
     }
 
-    /// Lets time pass. `cover` is until when no other failure domain can take over tasks that may
-    /// move; `None` where that is not known. `act` tells whether commands may be sent at all.
-    pub fn tick(&mut self, now: Instant, cover: Option<Instant>, act: bool) -> Vec<FleetOutput> {
+    /// Detects expired leases and starts the exchanges that are due. Until `movable_until`, no other
+    /// failure domain can take over movable tasks; `None` if that time is not known. `may_send` tells
+    /// whether any exchange may be started.
+    pub fn tick(
+        &mut self,
+        now: Instant,
+        movable_until: Option<Instant>,
+        may_send: bool,
+    ) -> Vec<FleetOutput> {
         let Some(token) = self.token.clone() else {
             return Vec::new();
         };
         let mut outputs = Vec::new();
         let mut removed = Vec::new();
         for (id, member) in &mut self.members {
-            if member.lapse(now, &self.timing) {
+            if member.expire_lease(now, &self.timing) {
                 outputs.push(FleetOutput::LeaseExpired(id.clone()));
-                if member.gone.is_some() {
+                if member.unlisted_since.is_some() {
                     removed.push(id.clone());
                 }
             }
-            let waiting = !member.commands.is_empty() || !member.unsure.is_empty();
-            let urgent = waiting && !member.silent && member.claimed();
-            if act && member.pending.is_none() && (urgent || now >= member.due) {
+            let has_commands = !member.commands.is_empty() || !member.unconfirmed.is_empty();
+            let urgent = has_commands && !member.silent && member.is_claimed();
+            if may_send && member.pending.is_none() && (urgent || now >= member.next_exchange_at) {
                 self.next_exchange += 1;
-                let request = member.request(now, self.next_exchange, &token, cover, &self.timing);
+                let request = member.build_request(
+                    now,
+                    self.next_exchange,
+                    &token,
+                    movable_until,
+                    &self.timing,
+                );
                 outputs.push(FleetOutput::Exchange {
                     id: self.next_exchange,
                     worker: id.clone(),
@@ -260,7 +277,7 @@
         outputs
     }
 
-    /// Brings back a worker's reply; `None` when none came.
+    /// Handles a worker's reply, or `None` if there was none.
     pub fn reply(
         &mut self,
         now: Instant,
@@ -282,62 +299,64 @@
             }
         };
         match reply {
-            None => member.unanswered(now, pending),
+            None => member.handle_no_reply(now, pending),
             Some(reply) if reply.highest > token => vec![FleetOutput::Outranked(reply.highest)],
-            Some(reply) => member.answered(now, pending, reply, &self.timing),
+            Some(reply) => member.handle_reply(now, pending, reply, &self.timing),
         }
     }
 }
 
 impl FleetMember {
-    fn claimed(&self) -> bool {
-        matches!(self.link, WorkerLink::Claimed { .. })
+    fn is_claimed(&self) -> bool {
+        matches!(self.claim_state, ClaimState::Claimed { .. })
     }
 
-    /// Tells, once, that every lease that may hold on the worker has ended.
-    fn lapse(&mut self, now: Instant, timing: &TimingSettings) -> bool {
-        let gone = self.gone.is_some_and(|since| now >= since + timing.task_lease + CLOCK_MARGIN);
-        let over = match self.claimed() {
-            true => self.silent && now >= self.lapses + CLOCK_MARGIN,
-            false => gone && !self.lapsed,
+    /// Returns `true` once when every lease on the worker is certain to have expired.
+    fn expire_lease(&mut self, now: Instant, timing: &TimingSettings) -> bool {
+        let listing_expired = self
+            .unlisted_since
+            .is_some_and(|since| now >= since + timing.task_lease + CLOCK_MARGIN);
+        let all_ended = match self.is_claimed() {
+            true => self.silent && now >= self.lease_end + CLOCK_MARGIN,
+            false => listing_expired && !self.lease_expired,
         };
-        if over {
-            self.link = WorkerLink::Unclaimed;
-            self.lapsed = true;
-            self.unsure.clear();
+        if all_ended {
+            self.claim_state = ClaimState::Unclaimed;
+            self.lease_expired = true;
+            self.unconfirmed.clear();
             self.commands.clear();
             self.delivered.clear();
         }
-        over
+        all_ended
     }
 
-    fn request(
+    fn build_request(
         &mut self,
         now: Instant,
         id: ExchangeId,
         token: &FencingToken,
-        cover: Option<Instant>,
+        movable_until: Option<Instant>,
         timing: &TimingSettings,
     ) -> WorkerRequest {
-        let movable = cover.filter(|until| *until > now);
-        let mut horizon = now + timing.command_validity;
+        let movable = movable_until.filter(|until| *until > now);
+        let mut validity_end = now + timing.command_validity;
         if let Some(until) = movable {
-            horizon = horizon.min(until);
+            validity_end = validity_end.min(until);
         }
-        let (not_after, boot, commands) = match &self.link {
-            WorkerLink::Unclaimed => (None, None, Vec::new()),
-            WorkerLink::Claimed { clock, heard, boot } => {
-                self.lapses = self.lapses.max(horizon + timing.task_lease);
-                let mut commands = std::mem::take(&mut self.unsure);
+        let (not_after, boot, commands) = match &self.claim_state {
+            ClaimState::Unclaimed => (None, None, Vec::new()),
+            ClaimState::Claimed { clock, answered_at, boot } => {
+                self.lease_end = self.lease_end.max(validity_end + timing.task_lease);
+                let mut commands = std::mem::take(&mut self.unconfirmed);
                 let taken = self.commands.len().min(MAX_COMMANDS);
                 commands.extend(self.commands.drain(..taken));
                 {
-                    let not_after = *clock + horizon.saturating_duration_since(*heard);
+                    let not_after = *clock + validity_end.saturating_duration_since(*answered_at);
                     (Some(not_after), Some(*boot), commands)
                 }
             }
         };
-        self.due = now + timing.worker_interval;
+        self.next_exchange_at = now + timing.worker_interval;
         self.pending = Some(PendingExchange { id, commands: commands.clone() });
         WorkerRequest {
             token: token.clone(),
@@ -349,9 +368,9 @@
         }
     }
 
-    fn unanswered(&mut self, now: Instant, pending: PendingExchange) -> Vec<FleetOutput> {
-        self.unsure = pending.commands;
-        self.due = now + RETRY_PAUSE;
+    fn handle_no_reply(&mut self, now: Instant, pending: PendingExchange) -> Vec<FleetOutput> {
+        self.unconfirmed = pending.commands;
+        self.next_exchange_at = now + RETRY_PAUSE;
         let first = !self.silent;
         self.silent = true;
         match first {
@@ -360,7 +379,7 @@
         }
     }
 
-    fn answered(
+    fn handle_reply(
         &mut self,
         now: Instant,
         pending: PendingExchange,
@@ -371,16 +390,17 @@
         if std::mem::take(&mut self.silent) {
             outputs.push(FleetOutput::Silent(self.spec.id.clone(), false));
         }
-        let was_claimed = self.claimed();
-        let same_boot = match &self.link {
-            WorkerLink::Claimed { boot, .. } => *boot == reply.boot,
-            WorkerLink::Unclaimed => false,
+        let was_claimed = self.is_claimed();
+        let same_boot = match &self.claim_state {
+            ClaimState::Claimed { boot, .. } => *boot == reply.boot,
+            ClaimState::Unclaimed => false,
         };
-        self.link = WorkerLink::Claimed { clock: reply.clock, heard: now, boot: reply.boot };
+        self.claim_state =
+            ClaimState::Claimed { clock: reply.clock, answered_at: now, boot: reply.boot };
         if !was_claimed {
-            self.due = now;
-            self.lapsed = false;
-            self.lapses = now + timing.task_lease;
+            self.next_exchange_at = now;
+            self.lease_expired = false;
+            self.lease_end = now + timing.task_lease;
             let tasks = reply.tasks.iter();
             self.delivered = tasks.map(|report| (report.task.clone(), report.attempt)).collect();
             outputs.push(FleetOutput::Claimed(self.spec.clone(), reply.tasks));
@@ -400,44 +420,44 @@
                     }
                 }
             }
-            false => self.unsure = pending.commands,
+            false => self.unconfirmed = pending.commands,
         }
-        outputs.extend(self.compare(same_boot, &reply.tasks));
+        outputs.extend(self.take_vanished(same_boot, &reply.tasks));
         outputs.push(FleetOutput::Listed(self.spec.id.clone(), reply.tasks));
         outputs
     }
 
-    /// Finds tasks that were delivered and are not listed.
-    fn compare(&mut self, same_boot: bool, tasks: &[TaskReport]) -> Vec<FleetOutput> {
+    /// Removes and returns the tasks that were delivered and are not listed any more.
+    fn take_vanished(&mut self, same_boot: bool, tasks: &[TaskReport]) -> Vec<FleetOutput> {
         let listed: BTreeMap<&TaskId, &TaskReport> =
             tasks.iter().map(|report| (&report.task, report)).collect();
-        let there = |task: &TaskId, attempt: Attempt| {
+        let is_listed = |task: &TaskId, attempt: Attempt| {
             listed
                 .get(task)
                 .is_some_and(|report| report.attempt >= attempt || report.outcome.is_none())
         };
-        let missing: Vec<TaskId> = self
+        let vanished: Vec<TaskId> = self
             .delivered
             .iter()
-            .filter(|(task, attempt)| !there(task, **attempt))
+            .filter(|(task, attempt)| !is_listed(task, **attempt))
             .map(|(task, _)| task.clone())
             .collect();
-        let mut missing = missing;
+        let mut vanished = vanished;
         if !same_boot {
-            // Whether these started before the restart is not known; either way they do not run.
-            missing.extend(std::mem::take(&mut self.unsure).into_iter().filter_map(|command| {
-                match command {
-                    WorkerCommand::Start { task, attempt, .. } if !there(&task, attempt) => {
+            // These may have started before the restart of the worker; they do not run now.
+            vanished.extend(std::mem::take(&mut self.unconfirmed).into_iter().filter_map(
+                |command| match command {
+                    WorkerCommand::Start { task, attempt, .. } if !is_listed(&task, attempt) => {
                         Some(task)
                     }
                     _ => None,
-                }
-            }));
+                },
+            ));
         }
-        for task in &missing {
+        for task in &vanished {
             self.delivered.remove(task);
         }
         let id = &self.spec.id;
-        missing.into_iter().map(|task| FleetOutput::Vanished(id.clone(), task)).collect()
+        vanished.into_iter().map(|task| FleetOutput::Vanished(id.clone(), task)).collect()
     }
 }
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -1,9 +1,9 @@
-//! Who leads a failure domain: a lease in the store, and a way on without the store.
+//! Leader election of a failure domain, by a lease in the store or, if the store is down, without it.
 //!
-//! The lease is a record in the store that is changed by compare-and-swap only. Its holder takes the
-//! deadline from its own monotonic clock before the call, so that a holder that was paused knows on
-//! waking that its time is over. Safety does not rest on the lease: workers order leaders by
-//! [`FencingToken`], and the lease only keeps leaders from taking turns without need.
+//! The lease is a record in the store that is changed by compare-and-swap only. Its holder computes
+//! the deadline from its own monotonic clock, read before the call, so that a holder that was paused
+//! finds on resuming that the deadline has passed. Safety does not depend on the lease: workers order
+//! leaders by [`FencingToken`], and the lease only prevents needless changes of leader.
 
 mod lease;
 mod role;
--- a/src/leadership/lease.rs
+++ b/src/leadership/lease.rs
@@ -14,8 +14,8 @@
     pub epoch: u64,
     /// The entry that holds the lease.
     pub holder: EntryId,
-    /// How long it holds after the write; zero when it was given back.
+    /// Time to live, counted from the write; zero if the lease was given back.
     pub ttl: Duration,
-    /// Identifies the write, so that a lost answer can be settled by reading.
+    /// Identifies the write: if its answer was lost, reading the record shows whether it was made.
     pub write_id: String,
 }
--- a/src/leadership/role.rs
+++ b/src/leadership/role.rs
@@ -1,4 +1,4 @@
-//! The life of an entry as follower and leader of its failure domain.
+//! The roles of an entry in its failure domain, follower and leader, and the changes between them.
 
 mod answers;
 
@@ -13,52 +13,52 @@
 use crate::store::{StoreOutcome, StoreRequest};
 use crate::token::FencingToken;
 
-/// Renewals in one life of the lease.
+/// Renewals within one TTL of the lease.
 const RENEWALS_PER_TTL: u32 = 3;
-/// Looks at the lease in one of its lives.
-const CALM_TTLS: u32 = 4;
-/// The same after the leader said that it does not lead any more.
-const RESIGNED_TTLS: u32 = 20;
-/// Silence of the leader, in lives of the lease, before a takeover without the store.
-const DETACHED_TTLS: u32 = 2;
-/// The same where the leader's process is surely gone.
-const GONE_TTLS: u32 = 1;
-
-/// What the controller wants done.
+/// Checks of the lease by a follower within one TTL.
+const CHECKS_PER_TTL: u32 = 4;
+/// Checks of the lease within one TTL after the leader has resigned.
+const RESIGNED_CHECKS_PER_TTL: u32 = 20;
+/// Silence of leader and store, in TTLs of the lease, before a takeover without the store.
+const DETACHED_AFTER_TTLS: u32 = 2;
+/// The same if the leader's process is known to have ended.
+const GONE_AFTER_TTLS: u32 = 1;
+
+/// Actions for the caller of the controller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum LeadershipAction {
-    /// Make this call and bring the outcome back under the number.
+    /// Make this call and pass the outcome to [`LeadershipController::answer`] with the number.
     Call(CallId, StoreRequest),
-    /// This entry leads from now on under the token; workers have to be claimed again.
+    /// This entry starts leading under the token; workers have to be claimed again.
     Lead(FencingToken),
-    /// This entry does not lead any more.
+    /// This entry stops leading.
     Follow,
 }
 
 /// State of an entry that follows.
 #[derive(Clone, Debug)]
 pub struct FollowingRole {
-    /// Version of the lease seen last, when it was first seen, and how long it holds.
-    seen: Option<(KeyVersion, Instant, Duration)>,
-    /// Record seen last.
+    /// Last version of the lease seen, when it was first seen, and its time to live.
+    last_version: Option<(KeyVersion, Instant, Duration)>,
+    /// Last record read; `None` if there was none or it is outdated.
     record: Option<LeaseRecord>,
-    /// When the leader was last heard from.
-    heard: Instant,
-    /// When the lease is to be read or taken next.
+    /// When the last message of the leader arrived.
+    leader_seen_at: Instant,
+    /// When the lease is to be read or acquired next.
     next_check: Instant,
-    /// Whether the leader said that it does not lead any more.
-    resigned: bool,
-    /// Whether the leader's process is surely gone.
-    gone: bool,
+    /// Whether the leader has announced that it stopped leading.
+    leader_resigned: bool,
+    /// Whether the leader's process is known to have ended.
+    leader_gone: bool,
 }
 
 /// State of an entry that leads.
 #[derive(Clone, Debug)]
 pub struct LeadingRole {
     token: FencingToken,
-    /// Version of the lease record that this entry wrote; `None` when it leads without the store.
+    /// Version of the lease record that this entry wrote; `None` if it leads without the store.
     version: Option<KeyVersion>,
-    /// Until when no other entry can have taken the lease.
+    /// Time until which no other entry can acquire the lease.
     deadline: Instant,
     next_renewal: Instant,
 }
@@ -71,24 +71,32 @@
 
 impl FollowingRole {
     fn new(now: Instant) -> Self {
-        Self { seen: None, record: None, heard: now, next_check: now, resigned: false, gone: false }
+        Self {
+            last_version: None,
+            record: None,
+            leader_seen_at: now,
+            next_check: now,
+            leader_resigned: false,
+            leader_gone: false,
+        }
     }
 
-    /// Notes the record; the time of its first sight bounds its holder's deadline from above.
-    fn note(&mut self, now: Instant, version: KeyVersion, record: Option<LeaseRecord>) {
+    /// Records the lease as read. Its version was written no later than it was first seen, so
+    /// that time plus the TTL is an upper bound for the deadline of its holder.
+    fn observe(&mut self, now: Instant, version: KeyVersion, record: Option<LeaseRecord>) {
         let ttl = record.as_ref().map_or(Duration::ZERO, |record| record.ttl);
-        match self.seen {
-            Some((seen, ..)) if seen == version => {}
-            _ => self.seen = Some((version, now, ttl)),
+        match self.last_version {
+            Some((last, ..)) if last == version => {}
+            _ => self.last_version = Some((version, now, ttl)),
         }
         self.record = record;
     }
 
     fn expired(&self, now: Instant) -> bool {
-        self.seen.is_some_and(|(_, since, ttl)| now >= since + ttl)
+        self.last_version.is_some_and(|(_, since, ttl)| now >= since + ttl)
     }
 
-    /// Becomes leader.
+    /// Turns into the role of a leader.
     fn lead(
         self,
         token: FencingToken,
@@ -100,7 +108,7 @@
 }
 
 impl LeadingRole {
-    /// Becomes follower.
+    /// Turns into the role of a follower.
     fn follow(self, now: Instant) -> FollowingRole {
         FollowingRole::new(now)
     }
@@ -108,7 +116,7 @@
 
 #[derive(Clone, Debug)]
 enum PendingCall {
-    /// Reads the lease; `settles` is a write whose answer was lost.
+    /// Reads the lease; `settles` is a write whose answer was lost and whose outcome the read shows.
     Look { settles: Option<PendingWrite> },
     /// Writes the lease.
     Write(PendingWrite),
@@ -126,7 +134,8 @@
     entry: EntryId,
     key: String,
     timing: TimingSettings,
-    /// Place of this entry among those of its domain; spreads takeovers without the store.
+    /// Index of this entry among those of its failure domain; it delays takeovers without the store,
+    /// so that the entries do not take over at the same time.
     rank: u32,
     role: LeadershipRole,
     /// Highest token seen anywhere.
@@ -140,12 +149,13 @@
     writes: u64,
     boot: u64,
     leaving: bool,
-    /// Whether the domain may be taken without the store.
+    /// Whether this entry may lead without the store.
     may_detach: bool,
 }
 
 impl LeadershipController {
-    /// Starts as follower. `boot` tells this start of the process from earlier ones.
+    /// Creates a controller that follows. `boot` distinguishes this start of the process from earlier
+    /// ones.
     pub fn new(
         now: Instant,
         entry: EntryId,
@@ -172,13 +182,13 @@
         }
     }
 
-    /// Only ever leads with a lease from the store.
+    /// Forbids leading without a lease from the store.
     pub fn store_only(mut self) -> Self {
         self.may_detach = false;
         self
     }
 
-    /// The token while this entry leads.
+    /// The token of this entry; `None` for followers.
     pub fn token(&self) -> Option<&FencingToken> {
         match &self.role {
             LeadershipRole::Leading(role) => Some(&role.token),
@@ -186,7 +196,7 @@
         }
     }
 
-    /// Until when the lease in the store surely holds; `None` for followers.
+    /// Time until which the lease in the store is certain to last; `None` for followers.
     pub fn deadline(&self) -> Option<Instant> {
         match &self.role {
             LeadershipRole::Leading(role) => Some(role.deadline),
@@ -194,8 +204,8 @@
         }
     }
 
-    /// Tells whether this entry may act as leader. Past its deadline it may only after it has found
-    /// the store out of reach; a holder that wakes from a pause has to look first.
+    /// Tells whether this entry may act as leader. After its deadline it may only if a call to the
+    /// store has failed since: a process that resumes after a pause has to read the lease first.
     pub fn may_act(&self, now: Instant) -> bool {
         match &self.role {
             LeadershipRole::Leading(role) => {
@@ -206,7 +216,7 @@
         }
     }
 
-    /// Version of the lease this leader wrote last.
+    /// Version of the lease that this leader wrote last.
     pub fn lease_version(&self) -> Option<KeyVersion> {
         match &self.role {
             LeadershipRole::Leading(role) => role.version,
@@ -214,7 +224,7 @@
         }
     }
 
-    /// The call to the store that is being waited for, in words.
+    /// Describes the pending call to the store.
     pub fn pending_call_name(&self) -> Option<String> {
         self.pending.as_ref().map(|(id, pending)| format!("call {id}: {pending:?}"))
     }
@@ -224,12 +234,12 @@
         self.highest.as_ref()
     }
 
-    /// Tells whether the store has answered within a life of the lease.
+    /// Tells whether the store has answered within one TTL of the lease.
     pub fn store_up(&self, now: Instant) -> bool {
         now < self.store_answered + self.timing.lease_ttl
     }
 
-    /// A message of the leader arrived; its lease version counts as a sight of the lease.
+    /// Handles a message of the leader; the lease version in it counts as if it had been read.
     pub fn on_leader(
         &mut self,
         now: Instant,
@@ -241,40 +251,40 @@
         if let LeadershipRole::Following(role) = &mut self.role
             && known.as_ref() == Some(token)
         {
-            role.heard = now;
-            role.resigned = false;
-            role.gone = false;
+            role.leader_seen_at = now;
+            role.leader_resigned = false;
+            role.leader_gone = false;
             let ttl = self.timing.lease_ttl;
-            match (version, role.seen) {
-                (Some(version), Some((seen, ..))) if version > seen => {
-                    role.seen = Some((version, now, ttl));
+            match (version, role.last_version) {
+                (Some(version), Some((last, ..))) if version > last => {
+                    role.last_version = Some((version, now, ttl));
                     role.record = None;
                 }
-                (Some(version), None) => role.seen = Some((version, now, ttl)),
+                (Some(version), None) => role.last_version = Some((version, now, ttl)),
                 _ => {}
             }
         }
         actions
     }
 
-    /// The leader said that it does not lead any more: the lease may be free.
+    /// Handles the announcement of the leader that it stopped leading: the lease may be free.
     pub fn on_resignation(&mut self, now: Instant) {
         if let LeadershipRole::Following(role) = &mut self.role {
-            role.resigned = true;
+            role.leader_resigned = true;
             role.record = None;
             role.next_check = now;
         }
     }
 
-    /// The leader's process is surely gone: nobody has to wait for it.
+    /// Handles the certain end of the leader's process, which shortens the wait for a takeover.
     pub fn on_leader_gone(&mut self, now: Instant) {
         self.on_resignation(now);
         if let LeadershipRole::Following(role) = &mut self.role {
-            role.gone = true;
+            role.leader_gone = true;
         }
     }
 
-    /// A token was seen, for instance in the refusal of a worker.
+    /// Handles a token that was seen anywhere, for instance in the refusal of a worker.
     pub fn on_token(&mut self, now: Instant, token: &FencingToken) -> Vec<LeadershipAction> {
         if self.highest.as_ref().is_some_and(|highest| highest >= token) {
             return Vec::new();
@@ -300,7 +310,8 @@
         }
     }
 
-    /// Gives the lease back and does not take it again. A write on its way is waited for first.
+    /// Gives the lease back and does not acquire it again. If a write is pending, the lease is given
+    /// back after its answer.
     pub fn leave(&mut self, now: Instant) -> Vec<LeadershipAction> {
         self.leaving = true;
         let mut actions = Vec::new();
@@ -309,65 +320,70 @@
             let writing = matches!(self.pending, Some((_, PendingCall::Write(_))));
             if let Some(version) = version.filter(|_| !writing) {
                 let record = self.record(epoch, Duration::ZERO);
-                actions.push(self.write(now, version, record));
+                actions.push(self.write_lease(now, version, record));
             }
         }
         actions.extend(self.step_down(now));
         actions
     }
 
-    /// Lets time pass.
+    /// Renews, reads or acquires the lease when that is due.
     pub fn tick(&mut self, now: Instant) -> Vec<LeadershipAction> {
         match &self.role {
             _ if self.leaving => Vec::new(),
             LeadershipRole::Leading(role) if self.pending.is_none() && now >= role.next_renewal => {
                 self.renew(now)
             }
-            LeadershipRole::Following(role) if self.silent_too_long(now, role) => {
+            LeadershipRole::Following(role) if self.may_lead_detached(now, role) => {
                 self.lead_detached(now)
             }
             LeadershipRole::Following(role)
-                if self.pending.is_none() && self.wants_look(now, role) =>
+                if self.pending.is_none() && self.should_check(now, role) =>
             {
-                self.look_or_take(now)
+                self.check_or_acquire(now)
             }
             _ => Vec::new(),
         }
     }
 
-    fn wants_look(&self, now: Instant, role: &FollowingRole) -> bool {
-        let silent =
-            now >= role.heard + self.timing.lease_ttl / 2 || role.seen.is_none() || role.resigned;
+    fn should_check(&self, now: Instant, role: &FollowingRole) -> bool {
+        let silent = now >= role.leader_seen_at + self.timing.lease_ttl / 2
+            || role.last_version.is_none()
+            || role.leader_resigned;
         silent && now >= role.next_check
     }
 
-    fn silent_too_long(&self, now: Instant, role: &FollowingRole) -> bool {
-        let ttls = if role.gone { GONE_TTLS } else { DETACHED_TTLS };
-        let patience = self.timing.lease_ttl * ttls + self.timing.lease_ttl / 2 * self.rank;
-        let store_gone = now >= self.store_answered + patience;
-        self.may_detach && store_gone && now >= role.heard + patience && now >= role.next_check
+    fn may_lead_detached(&self, now: Instant, role: &FollowingRole) -> bool {
+        let ttls = if role.leader_gone { GONE_AFTER_TTLS } else { DETACHED_AFTER_TTLS };
+        let silence_limit = self.timing.lease_ttl * ttls + self.timing.lease_ttl / 2 * self.rank;
+        let store_silent = now >= self.store_answered + silence_limit;
+        self.may_detach
+            && store_silent
+            && now >= role.leader_seen_at + silence_limit
+            && now >= role.next_check
     }
 
-    fn look_or_take(&mut self, now: Instant) -> Vec<LeadershipAction> {
+    fn check_or_acquire(&mut self, now: Instant) -> Vec<LeadershipAction> {
         let LeadershipRole::Following(role) = &mut self.role else {
             return Vec::new();
         };
-        let pause = if role.resigned { RESIGNED_TTLS } else { CALM_TTLS };
-        role.next_check = now + self.timing.lease_ttl / pause;
-        let taken = match (&role.record, role.seen) {
+        let checks_per_ttl =
+            if role.leader_resigned { RESIGNED_CHECKS_PER_TTL } else { CHECKS_PER_TTL };
+        role.next_check = now + self.timing.lease_ttl / checks_per_ttl;
+        let expired_lease = match (&role.record, role.last_version) {
             (Some(record), Some((version, ..))) if role.expired(now) => {
                 Some((version, record.epoch))
             }
             (None, Some((0, ..))) => Some((0, 0)),
             _ => None,
         };
-        match taken {
+        match expired_lease {
             Some((version, epoch)) => {
                 let known = self.highest.as_ref().map_or(0, |token| token.epoch);
                 let record = self.record(epoch.max(known) + 1, self.timing.lease_ttl);
-                vec![self.write(now, version, record)]
+                vec![self.write_lease(now, version, record)]
             }
-            None => vec![self.look(None)],
+            None => vec![self.read_lease(None)],
         }
     }
 
@@ -381,22 +397,22 @@
         match version {
             Some(version) => {
                 let record = self.record(epoch, self.timing.lease_ttl);
-                vec![self.write(now, version, record)]
+                vec![self.write_lease(now, version, record)]
             }
-            None => vec![self.look(None)],
+            None => vec![self.read_lease(None)],
         }
     }
 
-    /// Takes the domain without the store; workers will tell whether a higher token exists.
+    /// Starts leading without the store; if a higher token exists, workers refuse this one.
     fn lead_detached(&mut self, now: Instant) -> Vec<LeadershipAction> {
         let LeadershipRole::Following(role) = &mut self.role else {
             return Vec::new();
         };
-        role.next_check = now + self.timing.lease_ttl * (DETACHED_TTLS + self.rank);
+        role.next_check = now + self.timing.lease_ttl * (DETACHED_AFTER_TTLS + self.rank);
         let epoch = role.record.as_ref().map_or(0, |record| record.epoch);
         let base = self.highest.clone().unwrap_or(FencingToken::granted(epoch, self.entry.clone()));
         let token = base.next_round(self.entry.clone());
-        warn!("store and leader are silent: leading under {token:?}");
+        warn!("neither store nor leader answers: leading without the store under {token:?}");
         self.become_leader(now, token, None, now)
     }
 
@@ -426,17 +442,17 @@
 
     fn call(&mut self, pending: PendingCall, request: StoreRequest) -> LeadershipAction {
         self.next_call += 1;
-        log::debug!("{} asks the store: {pending:?}", self.entry);
+        log::debug!("{} calls the store: {pending:?}", self.entry);
         self.pending = Some((self.next_call, pending));
         LeadershipAction::Call(self.next_call, request)
     }
 
-    fn look(&mut self, settles: Option<PendingWrite>) -> LeadershipAction {
+    fn read_lease(&mut self, settles: Option<PendingWrite>) -> LeadershipAction {
         let request = StoreRequest::Read { key: self.key.clone() };
         self.call(PendingCall::Look { settles }, request)
     }
 
-    fn write(
+    fn write_lease(
         &mut self,
         now: Instant,
         expected: KeyVersion,
--- a/src/leadership/role/answers.rs
+++ b/src/leadership/role/answers.rs
@@ -1,9 +1,9 @@
-//! What follows from the store's answers about the lease.
+//! Handling of the store's answers to calls about the lease.
 
 use super::*;
 
 impl LeadershipController {
-    /// Brings back the outcome of a call.
+    /// Handles the outcome of a call.
     pub fn answer(
         &mut self,
         now: Instant,
@@ -23,27 +23,29 @@
         };
         match (pending, outcome) {
             (PendingCall::Write(write), StoreOutcome::Written(version)) => {
-                self.written(now, write, version)
+                self.handle_written(now, write, version)
+            }
+            (PendingCall::Write(_), StoreOutcome::Conflict) => self.handle_conflict(now),
+            (PendingCall::Write(write), StoreOutcome::Unknown) => {
+                vec![self.read_lease(Some(write))]
             }
-            (PendingCall::Write(_), StoreOutcome::Conflict) => self.conflict(now),
-            (PendingCall::Write(write), StoreOutcome::Unknown) => vec![self.look(Some(write))],
             (PendingCall::Look { settles }, StoreOutcome::Unknown | StoreOutcome::Unavailable)
                 if settles.is_some() && !self.leaving =>
             {
-                vec![self.look(settles)]
+                vec![self.read_lease(settles)]
             }
             (PendingCall::Look { settles }, StoreOutcome::Found(stored)) => {
                 let record = serde_json::from_str(&stored.value).ok();
-                self.looked(now, settles, stored.version, record)
+                self.handle_read(now, settles, stored.version, record)
             }
             (PendingCall::Look { settles }, StoreOutcome::Missing) => {
-                self.looked(now, settles, 0, None)
+                self.handle_read(now, settles, 0, None)
             }
             _ => Vec::new(),
         }
     }
 
-    pub(super) fn conflict(&mut self, now: Instant) -> Vec<LeadershipAction> {
+    pub(super) fn handle_conflict(&mut self, now: Instant) -> Vec<LeadershipAction> {
         match &mut self.role {
             LeadershipRole::Following(role) => {
                 role.next_check = now;
@@ -51,13 +53,13 @@
                 Vec::new()
             }
             LeadershipRole::Leading(_) => {
-                info!("the lease has another version: looking who holds it");
-                vec![self.look(None)]
+                info!("unexpected version of the lease: reading it again");
+                vec![self.read_lease(None)]
             }
         }
     }
 
-    pub(super) fn written(
+    pub(super) fn handle_written(
         &mut self,
         now: Instant,
         write: PendingWrite,
@@ -68,7 +70,7 @@
             _ if write.record.ttl.is_zero() => Vec::new(),
             _ if self.leaving => {
                 let record = self.record(write.record.epoch, Duration::ZERO);
-                vec![self.write(now, version, record)]
+                vec![self.write_lease(now, version, record)]
             }
             LeadershipRole::Leading(role)
                 if role.token.epoch == write.record.epoch && role.token.round == 0 =>
@@ -80,15 +82,17 @@
             _ => {
                 let token = FencingToken::granted(write.record.epoch, self.entry.clone());
                 match &self.highest {
-                    Some(highest) if *highest >= token => self.outbid(now, version, write.record),
+                    Some(highest) if *highest >= token => {
+                        self.raise_epoch(now, version, write.record)
+                    }
                     _ => self.become_leader(now, token, Some(version), deadline),
                 }
             }
         }
     }
 
-    /// The store granted an epoch that a token seen elsewhere exceeds: raise it above.
-    pub(super) fn outbid(
+    /// Raises the epoch of a lease that was just acquired above that of a higher token seen elsewhere.
+    pub(super) fn raise_epoch(
         &mut self,
         now: Instant,
         version: KeyVersion,
@@ -96,10 +100,10 @@
     ) -> Vec<LeadershipAction> {
         let known = self.highest.as_ref().map_or(0, |token| token.epoch);
         let record = self.record(known.max(record.epoch) + 1, self.timing.lease_ttl);
-        vec![self.write(now, version, record)]
+        vec![self.write_lease(now, version, record)]
     }
 
-    pub(super) fn looked(
+    pub(super) fn handle_read(
         &mut self,
         now: Instant,
         settles: Option<PendingWrite>,
@@ -109,11 +113,11 @@
         if let (Some(write), Some(record)) = (&settles, &record)
             && write.record.write_id == record.write_id
         {
-            return self.written(now, write.clone(), version);
+            return self.handle_written(now, write.clone(), version);
         }
         match &mut self.role {
             LeadershipRole::Following(role) => {
-                role.note(now, version, record);
+                role.observe(now, version, record);
                 if role.expired(now) || version == 0 {
                     role.next_check = now;
                 }
@@ -123,7 +127,7 @@
         }
     }
 
-    /// A leader found a record that is not its last write.
+    /// Handles a record that the leader read and that is not its pending write.
     pub(super) fn compare_with_own(
         &mut self,
         now: Instant,
@@ -146,7 +150,7 @@
             }
             _ if epoch <= token.epoch => {
                 let record = self.record(token.epoch + 1, self.timing.lease_ttl);
-                vec![self.write(now, version, record)]
+                vec![self.write_lease(now, version, record)]
             }
             _ => {
                 let token = FencingToken::granted(epoch, holder.unwrap_or(self.entry.clone()));
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -1,9 +1,9 @@
-//! What a failure domain must not forget: jobs, and the keys of requests that are not idempotent.
+//! Durable records of a failure domain: jobs, and the keys of requests that are not idempotent.
 //!
 //! The ledger is a journal of grouped commits in a ring of store keys, written by the leader alone,
-//! with a snapshot that bounds its length. The next free place of the journal is taken by
-//! compare-and-swap, so a leader that was replaced can never add to it: its successor's first
-//! segment takes the place that the old leader would need.
+//! with a snapshot that bounds its length. Each segment is written to the next free slot of the ring
+//! by compare-and-swap, so a leader that was replaced can never append: the first segment of its
+//! successor occupies the slot that the old leader would write next.
 
 mod journal;
 mod segment;
--- a/src/ledger/journal.rs
+++ b/src/ledger/journal.rs
@@ -17,34 +17,35 @@
 use crate::store::{StoreOutcome, StoreRequest, StoredValue};
 use crate::token::FencingToken;
 
-/// Places of the ring.
+/// Slots of the ring.
 const RING_SLOTS: u64 = 512;
-/// Segments after which the journal is compacted whatever their size.
+/// Number of segments at which the journal is compacted regardless of their size.
 const COMPACT_SEGMENTS: u64 = 384;
-/// Smallest size of the journal that is worth a compaction, in bytes.
+/// Size of the journal, in bytes, below which it is not compacted for its size.
 const COMPACT_BYTES: usize = 256 * 1024;
-/// Largest value that is written, in bytes; the store takes a megabyte.
+/// Size, in bytes, at which no more records are added to a value; the store accepts values up to
+/// one megabyte.
 const VALUE_BYTES: usize = 512 * 1024;
 /// Reads kept in flight during recovery.
 const READ_AHEAD: u64 = 16;
-/// Writes that may follow each other without a pause when there were none for a while.
+/// Writes that may follow each other without a delay after a time without writes.
 const BURST: u32 = 10;
-/// Pause before a call is repeated that the store did not answer.
+/// Delay before a call is repeated that the store did not answer.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Number of a commit that a caller waits for.
+/// Number of a change, with which a caller waits for its commit.
 pub type CommitTicket = u64;
 
-/// What the journal wants done or tells.
+/// Actions and events for the caller of the journal.
 #[derive(Clone, Debug, PartialEq)]
 pub enum JournalOutput {
-    /// Make this call and bring the outcome back under the number.
+    /// Make this call and pass the outcome to [`JournalController::answer`] with the number.
     Call(CallId, StoreRequest),
-    /// All records known; the journal can be written from now on.
+    /// Recovery is complete: all records. The journal accepts commits from now on.
     Recovered(Vec<LedgerRecord>),
     /// Every change up to this ticket is durable.
     Committed(CommitTicket),
-    /// Another leader has written: this one must stop.
+    /// Another leader has written to the journal: this one must stop.
     Fenced,
 }
 
@@ -55,34 +56,34 @@
     ReadPart(u64),
     ReadSlot(u64),
     WriteSegment,
-    SettleSegment,
-    ReadTarget(u64),
+    VerifySegment,
+    ReadPartVersion(u64),
     WritePart(u64),
     WriteBase(JournalBase),
-    SettleBase(JournalBase),
+    VerifyBase(JournalBase),
 }
 
 #[derive(Debug)]
 struct RecoveryState {
     /// Next segment to apply.
-    next: u64,
+    next_apply: u64,
     /// Next segment to read.
-    ask: u64,
+    next_read: u64,
     /// Segments read out of order; `None` marks the end of the journal.
     read: BTreeMap<u64, Option<JournalSegment>>,
-    parts_missing: BTreeSet<u64>,
-    /// Records found so far.
-    found: BTreeMap<String, LedgerRecord>,
+    missing_parts: BTreeSet<u64>,
+    /// Records read so far.
+    recovered: BTreeMap<String, LedgerRecord>,
 }
 
 impl RecoveryState {
-    fn new(next: u64, parts: u64) -> Self {
+    fn new(next_apply: u64, parts: u64) -> Self {
         Self {
-            next,
-            ask: next,
+            next_apply,
+            next_read: next_apply,
             read: BTreeMap::new(),
-            parts_missing: (0..parts).collect(),
-            found: BTreeMap::new(),
+            missing_parts: (0..parts).collect(),
+            recovered: BTreeMap::new(),
         }
     }
 }
@@ -110,9 +111,9 @@
 enum JournalStage {
     /// Another entry leads.
     Idle,
-    /// Reading what is there.
+    /// Reading the snapshot and the segments.
     Recovering(RecoveryState),
-    /// Taking the next place, so that earlier leaders can write no more.
+    /// Writing the next segment, after which earlier leaders cannot write any more.
     Fencing,
     /// Open for commits.
     Open,
@@ -130,13 +131,13 @@
     dirty: BTreeSet<String>,
     dirty_ticket: CommitTicket,
     durable_ticket: CommitTicket,
-    /// Names of records that changed since followers were told.
+    /// Names of records whose changes were not passed on to followers yet.
     changed: BTreeSet<String>,
     /// The segment being written.
     segment: Option<(JournalSegment, CommitTicket)>,
     tickets: CommitTicket,
     next_number: u64,
-    /// When the next write would be due if none ever came early.
+    /// When the next write would be due if writes were spaced by the interval.
     next_write: Instant,
     slots: BTreeMap<u64, KeyVersion>,
     base: Option<JournalBase>,
@@ -152,7 +153,7 @@
 }
 
 impl JournalController {
-    /// A journal that nobody writes yet. `boot` tells this start of the process from earlier ones.
+    /// Creates an idle journal. `boot` distinguishes this start of the process from earlier ones.
     pub fn new(now: Instant, domain: DomainId, boot: u64, interval: Duration) -> Self {
         Self {
             domain,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Tells whether commits can be taken.
+    /// Tells whether the journal accepts commits.
     pub fn open(&self) -> bool {
         matches!(self.stage, JournalStage::Open)
     }
@@ -207,7 +208,7 @@
         self.records.values()
     }
 
-    /// Stops being the writer; what is not written yet is forgotten.
+    /// Stops writing and drops all records and pending changes.
     pub fn close(&mut self) {
         self.stage = JournalStage::Idle;
         self.token = None;
@@ -220,7 +221,7 @@
         self.retries.clear();
     }
 
-    /// Notes a change; the ticket tells when it is durable.
+    /// Adds or replaces a record. The change is durable once its ticket is [written](Self::written).
     pub fn put(&mut self, record: LedgerRecord) -> CommitTicket {
         self.dirty.insert(record.name());
         self.changed.insert(record.name());
@@ -239,7 +240,8 @@
         self.records.get(name)
     }
 
-    /// Changes a job where it stands; the ticket tells when the change is durable.
+    /// Changes the record of a job in place. The change is durable once its ticket is
+    /// [written](Self::written).
     pub fn change_job(
         &mut self,
         name: &str,
@@ -254,7 +256,7 @@
         Some(self.ticket())
     }
 
-    /// Ticket of the last change, whether it is durable or not.
+    /// Ticket of the last change, durable or not.
     pub fn last_ticket(&self) -> CommitTicket {
         self.tickets
     }
@@ -264,7 +266,7 @@
         self.open() && self.durable_ticket >= ticket
     }
 
-    /// Takes the records that changed since last asked, for followers that keep them warm.
+    /// Returns the records that changed since the last call, for followers that keep a copy.
     pub fn take_changes(&mut self) -> Vec<LedgerRecord> {
         let names = std::mem::take(&mut self.changed);
         let current = |name: String| match self.records.get(&name) {
@@ -274,7 +276,7 @@
         names.into_iter().map(current).collect()
     }
 
-    /// Tells whether the record's last change is durable.
+    /// Tells whether the last change of a record is durable.
     pub fn durable(&self, name: &str) -> bool {
         let writing = self
             .segment
@@ -283,34 +285,35 @@
         !writing && !self.dirty.contains(name)
     }
 
-    /// Takes over records that were kept warm, for a start without the store.
+    /// Adds the records of the copy that this entry kept as a follower, for a start without the
+    /// store.
     pub fn preload(&mut self, records: impl IntoIterator<Item = LedgerRecord>) {
         for record in records {
             self.put(record);
         }
     }
 
-    /// Lets time pass: repeats calls, writes the next group.
+    /// Repeats failed calls, writes the next batch and starts a compaction, as far as they are due.
     pub fn tick(&mut self, now: Instant) -> Vec<JournalOutput> {
         let due = self.retries.extract_if(.., |(at, _)| *at <= now).collect::<Vec<_>>();
         let mut outputs: Vec<_> = due.into_iter().map(|(_, call)| self.call(call)).collect();
         if self.open() && self.segment.is_none() && !self.dirty.is_empty() && self.may_write(now) {
-            outputs.push(self.write_group(now));
+            outputs.push(self.write_batch(now));
         }
-        if self.open() && self.compaction.is_none() && self.worth_compaction() {
+        if self.open() && self.compaction.is_none() && self.should_compact() {
             outputs.extend(self.compact());
         }
         outputs
     }
 
-    /// Lets one write pass in each interval on the mean, and a burst after a quiet time.
+    /// Limits writes to one in each interval on average, with a burst after a time without writes.
     fn may_write(&self, now: Instant) -> bool {
         now + self.interval * (BURST - 1) >= self.next_write
     }
 
-    fn write_group(&mut self, now: Instant) -> JournalOutput {
+    fn write_batch(&mut self, now: Instant) -> JournalOutput {
         self.next_write = self.next_write.max(now) + self.interval;
-        let records = self.take_group();
+        let records = self.take_batch();
         let ticket = match self.dirty.is_empty() {
             true => self.dirty_ticket,
             false => 0,
@@ -326,8 +329,8 @@
         self.call(JournalCall::WriteSegment)
     }
 
-    /// Takes changes up to the bound on a value.
-    fn take_group(&mut self) -> Vec<LedgerRecord> {
+    /// Takes the changes for the next segment, up to the size limit of a value.
+    fn take_batch(&mut self) -> Vec<LedgerRecord> {
         let mut bytes = 0;
         let mut records = Vec::new();
         while bytes < VALUE_BYTES {
@@ -360,12 +363,12 @@
     fn request(&self, call: &JournalCall) -> StoreRequest {
         let read = |key| StoreRequest::Read { key };
         match call {
-            JournalCall::ReadBase | JournalCall::SettleBase(_) => read(self.base_key()),
+            JournalCall::ReadBase | JournalCall::VerifyBase(_) => read(self.base_key()),
             JournalCall::ReadPart(part) => {
                 read(self.part_key(self.base.as_ref().map_or(0, |base| base.generation), *part))
             }
             JournalCall::ReadSlot(number) => read(self.slot_key(*number)),
-            JournalCall::SettleSegment => read(self.slot_key(self.next_number)),
+            JournalCall::VerifySegment => read(self.slot_key(self.next_number)),
             JournalCall::FenceBase(base) | JournalCall::WriteBase(base) => StoreRequest::Swap {
                 key: self.base_key(),
                 expected: self.base_version,
@@ -376,7 +379,7 @@
                 expected: *self.slots.get(&(self.next_number % RING_SLOTS)).unwrap_or(&0),
                 value: self.segment.as_ref().map_or(String::new(), |(segment, _)| encode(segment)),
             },
-            JournalCall::ReadTarget(part) => {
+            JournalCall::ReadPartVersion(part) => {
                 read(self.part_key(self.compaction_generation(), *part))
             }
             JournalCall::WritePart(part) => StoreRequest::Swap {
@@ -410,7 +413,7 @@
         Vec::new()
     }
 
-    /// Brings back the outcome of a call.
+    /// Handles the outcome of a call.
     pub fn answer(
         &mut self,
         now: Instant,
@@ -453,23 +456,23 @@
                 self.read_slot(now, number, None)
             }
             (JournalCall::WriteSegment, StoreOutcome::Written(version)) => {
-                self.segment_written(now, version)
+                self.handle_segment_written(now, version)
             }
             (JournalCall::WriteSegment, StoreOutcome::Conflict | StoreOutcome::Unknown) => {
-                vec![self.call(JournalCall::SettleSegment)]
+                vec![self.call(JournalCall::VerifySegment)]
             }
-            (JournalCall::SettleSegment, StoreOutcome::Found(stored)) => {
-                self.settle_segment(now, &stored)
+            (JournalCall::VerifySegment, StoreOutcome::Found(stored)) => {
+                self.verify_segment(now, &stored)
             }
-            (JournalCall::SettleSegment, StoreOutcome::Missing) => {
+            (JournalCall::VerifySegment, StoreOutcome::Missing) => {
                 self.slots.remove(&(self.next_number % RING_SLOTS));
                 vec![self.call(JournalCall::WriteSegment)]
             }
-            (call, outcome) => self.answer_compaction(now, call, outcome),
+            (call, outcome) => self.handle_compaction_outcome(now, call, outcome),
         }
     }
 
-    fn segment_written(&mut self, now: Instant, version: KeyVersion) -> Vec<JournalOutput> {
+    fn handle_segment_written(&mut self, now: Instant, version: KeyVersion) -> Vec<JournalOutput> {
         self.slots.insert(self.next_number % RING_SLOTS, version);
         self.next_number += 1;
         let Some((segment, ticket)) = self.segment.take() else {
@@ -490,16 +493,17 @@
         outputs
     }
 
-    /// The answer of a write was lost or another version was there: the slot tells what happened.
-    fn settle_segment(&mut self, now: Instant, stored: &StoredValue) -> Vec<JournalOutput> {
+    /// Determines from the content of the slot whether a write was made whose answer was lost or that
+    /// met another version.
+    fn verify_segment(&mut self, now: Instant, stored: &StoredValue) -> Vec<JournalOutput> {
         let Some((own, _)) = &self.segment else {
             return Vec::new();
         };
         match decode::<JournalSegment>(stored) {
             Some(found) if found.write_id == own.write_id => {
-                self.segment_written(now, stored.version)
+                self.handle_segment_written(now, stored.version)
             }
-            Some(found) if found.number >= own.number => self.foreign_segment(found),
+            Some(found) if found.number >= own.number => self.handle_foreign_segment(found),
             _ => {
                 self.slots.insert(self.next_number % RING_SLOTS, stored.version);
                 vec![self.call(JournalCall::WriteSegment)]
@@ -507,8 +511,8 @@
         }
     }
 
-    /// Another leader's segment stands where ours should.
-    fn foreign_segment(&mut self, found: JournalSegment) -> Vec<JournalOutput> {
+    /// Handles a segment of another leader in the slot that this leader was to write.
+    fn handle_foreign_segment(&mut self, found: JournalSegment) -> Vec<JournalOutput> {
         let higher = self.token.as_ref().is_some_and(|token| found.token > *token);
         match (&self.stage, &self.token) {
             (JournalStage::Fencing, Some(token)) if !higher => {
--- a/src/ledger/journal/compaction.rs
+++ b/src/ledger/journal/compaction.rs
@@ -1,33 +1,35 @@
-//! Snapshots that keep the journal short.
+//! Compaction: snapshots that bound the length of the journal.
 
 use super::*;
 
 impl JournalController {
-    pub(super) fn answer_compaction(
+    pub(super) fn handle_compaction_outcome(
         &mut self,
         now: Instant,
         call: JournalCall,
         outcome: StoreOutcome,
     ) -> Vec<JournalOutput> {
         match (call, outcome) {
-            (JournalCall::ReadTarget(part), StoreOutcome::Found(stored)) => {
+            (JournalCall::ReadPartVersion(part), StoreOutcome::Found(stored)) => {
                 self.write_part(part, stored.version)
             }
-            (JournalCall::ReadTarget(part), StoreOutcome::Missing) => self.write_part(part, 0),
-            (JournalCall::WritePart(part), StoreOutcome::Written(_)) => self.next_part(part + 1),
+            (JournalCall::ReadPartVersion(part), StoreOutcome::Missing) => self.write_part(part, 0),
+            (JournalCall::WritePart(part), StoreOutcome::Written(_)) => {
+                self.advance_compaction(part + 1)
+            }
             (JournalCall::WritePart(part), StoreOutcome::Conflict | StoreOutcome::Unknown) => {
-                vec![self.call(JournalCall::ReadTarget(part))]
+                vec![self.call(JournalCall::ReadPartVersion(part))]
             }
             (JournalCall::WriteBase(base), StoreOutcome::Written(version)) => {
-                self.base_written(base, version)
+                self.handle_base_written(base, version)
             }
             (JournalCall::WriteBase(base), StoreOutcome::Conflict | StoreOutcome::Unknown) => {
-                vec![self.call(JournalCall::SettleBase(base))]
+                vec![self.call(JournalCall::VerifyBase(base))]
             }
-            (JournalCall::SettleBase(base), StoreOutcome::Found(stored)) => {
+            (JournalCall::VerifyBase(base), StoreOutcome::Found(stored)) => {
                 match decode::<JournalBase>(&stored) {
                     Some(found) if found.write_id == base.write_id => {
-                        self.base_written(base, stored.version)
+                        self.handle_base_written(base, stored.version)
                     }
                     _ if stored.version == self.base_version => {
                         vec![self.call(JournalCall::WriteBase(base))]
@@ -39,7 +41,7 @@
         }
     }
 
-    pub(super) fn worth_compaction(&self) -> bool {
+    pub(super) fn should_compact(&self) -> bool {
         let covered = self.base.as_ref().map_or(0, |base| base.covers);
         let segments = self.next_number - 1 - covered;
         segments >= COMPACT_SEGMENTS
@@ -60,7 +62,7 @@
         self.snapshot_bytes = parts.iter().map(String::len).sum();
         self.journal_bytes = 0;
         self.compaction = Some(CompactionState { base, parts, next_part: 0, version: 0 });
-        self.next_part(0)
+        self.advance_compaction(0)
     }
 
     pub(super) fn snapshot_parts(&self, generation: u64, token: &FencingToken) -> Vec<String> {
@@ -71,11 +73,11 @@
             bytes += encode(record).len();
             records.push(record.clone());
             if bytes >= VALUE_BYTES {
-                let taken = std::mem::take(&mut records);
+                let batch = std::mem::take(&mut records);
                 parts.push(encode(&SnapshotPart {
                     generation,
                     token: token.clone(),
-                    records: taken,
+                    records: batch,
                 }));
                 bytes = 0;
             }
@@ -86,13 +88,13 @@
         parts
     }
 
-    pub(super) fn next_part(&mut self, part: u64) -> Vec<JournalOutput> {
+    pub(super) fn advance_compaction(&mut self, part: u64) -> Vec<JournalOutput> {
         let Some(state) = &mut self.compaction else {
             return Vec::new();
         };
         state.next_part = part;
         match part < state.base.parts {
-            true => vec![self.call(JournalCall::ReadTarget(part))],
+            true => vec![self.call(JournalCall::ReadPartVersion(part))],
             false => {
                 let base = state.base.clone();
                 vec![self.call(JournalCall::WriteBase(base))]
@@ -107,7 +109,7 @@
         vec![self.call(JournalCall::WritePart(part))]
     }
 
-    pub(super) fn base_written(
+    pub(super) fn handle_base_written(
         &mut self,
         base: JournalBase,
         version: KeyVersion,
--- a/src/ledger/journal/recovery.rs
+++ b/src/ledger/journal/recovery.rs
@@ -1,10 +1,10 @@
-//! Reading what is there and taking the next place.
+//! Recovery: reading the snapshot and the segments, and fencing off earlier leaders.
 
 use super::*;
 
 impl JournalController {
-    /// Starts reading as leader under `token`. Changes not yet written are kept: they were given
-    /// out as not durable and are written after the fence.
+    /// Starts recovery as leader under `token`. Changes that are not written yet are kept: callers were
+    /// told that they are not durable, and they are written after the fence.
     pub fn recover(&mut self, token: FencingToken) -> Vec<JournalOutput> {
         self.token = Some(token);
         self.calls.clear();
@@ -18,7 +18,7 @@
         vec![self.call(JournalCall::ReadBase)]
     }
 
-    /// Writes the base again under our token, so that no earlier leader can replace it.
+    /// Writes the base again under this leader's token, so that no earlier leader can replace it.
     pub(super) fn fence_base(&mut self) -> Vec<JournalOutput> {
         let token = self.token.clone().unwrap_or(FencingToken::granted(0, "".into()));
         if let Some(base) = &self.base
@@ -52,9 +52,9 @@
     pub(super) fn read_ahead(&mut self) -> Vec<JournalOutput> {
         let mut numbers = Vec::new();
         if let JournalStage::Recovering(state) = &mut self.stage {
-            while state.ask < state.next + READ_AHEAD {
-                numbers.push(state.ask);
-                state.ask += 1;
+            while state.next_read < state.next_apply + READ_AHEAD {
+                numbers.push(state.next_read);
+                state.next_read += 1;
             }
         }
         numbers.into_iter().map(|number| self.call(JournalCall::ReadSlot(number))).collect()
@@ -66,10 +66,10 @@
             return Vec::new();
         };
         for record in records {
-            apply(&mut state.found, record);
+            apply(&mut state.recovered, record);
         }
-        state.parts_missing.remove(&part);
-        match state.parts_missing.is_empty() {
+        state.missing_parts.remove(&part);
+        match state.missing_parts.is_empty() {
             true => self.read_ahead(),
             false => Vec::new(),
         }
@@ -89,44 +89,44 @@
             return Vec::new();
         };
         state.read.insert(number, segment);
-        let mut ended = false;
-        while let Some(segment) = state.read.remove(&state.next) {
+        let mut reached_end = false;
+        while let Some(segment) = state.read.remove(&state.next_apply) {
             match segment {
                 Some(segment) => {
                     for record in segment.records {
-                        apply(&mut state.found, record);
+                        apply(&mut state.recovered, record);
                     }
-                    state.next += 1;
+                    state.next_apply += 1;
                 }
                 None => {
-                    ended = true;
+                    reached_end = true;
                     break;
                 }
             }
         }
-        let next = state.next;
-        match ended {
+        let next = state.next_apply;
+        match reached_end {
             true => self.fence_journal(now, next),
             false => self.read_ahead(),
         }
     }
 
-    /// Takes the first free place; whoever else wanted to write it finds it taken.
+    /// Writes a segment to the first free slot; the write of any other leader to it fails.
     pub(super) fn fence_journal(&mut self, now: Instant, next: u64) -> Vec<JournalOutput> {
         if let JournalStage::Recovering(state) =
             std::mem::replace(&mut self.stage, JournalStage::Fencing)
         {
-            self.merge_found(state.found);
+            self.merge_recovered(state.recovered);
         }
         self.calls.clear();
         self.next_number = next;
-        vec![self.write_group(now)]
+        vec![self.write_batch(now)]
     }
 
-    /// Joins what the store has with changes of our own that were never written.
-    pub(super) fn merge_found(&mut self, mut found: BTreeMap<String, LedgerRecord>) {
+    /// Merges the recovered records with local changes that were never written.
+    pub(super) fn merge_recovered(&mut self, mut recovered: BTreeMap<String, LedgerRecord>) {
         for name in &self.dirty {
-            let merged = match (found.remove(name), self.records.remove(name)) {
+            let merged = match (recovered.remove(name), self.records.remove(name)) {
                 (Some(LedgerRecord::Job(found)), Some(LedgerRecord::Job(own))) => {
                     LedgerRecord::Job(found.merge(own))
                 }
@@ -136,8 +136,8 @@
                 (_, Some(own)) => own,
                 (_, None) => continue,
             };
-            found.insert(name.clone(), merged);
+            recovered.insert(name.clone(), merged);
         }
-        self.records = found;
+        self.records = recovered;
     }
 }
--- a/src/ledger/segment.rs
+++ b/src/ledger/segment.rs
@@ -1,4 +1,4 @@
-//! Values that the ledger writes.
+//! Values that the ledger writes to the store.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,7 +6,7 @@
 use crate::job::JobRecord;
 use crate::token::FencingToken;
 
-/// An answer kept to be given again.
+/// An answer that is kept and replayed to repeated requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct StoredAnswer {
@@ -14,7 +14,7 @@
     pub status: u16,
     /// Content type, if there was one.
     pub content_type: Option<String>,
-    /// Body as text; only text bodies up to a bound are kept.
+    /// Body as text; only text bodies up to a size limit are kept.
     pub body: String,
 }
 
@@ -25,11 +25,11 @@
 pub enum KeyState {
     /// It may be running or have run.
     Started,
-    /// It surely did not run; the key may be used again.
+    /// It certainly did not run; the key may be used again.
     NotRun,
     /// It ran and this was the answer.
     Answered(StoredAnswer),
-    /// It ran and its answer could not be kept.
+    /// It ran, and its answer could not be kept.
     Ended,
 }
 
@@ -39,18 +39,19 @@
 pub struct KeyRecord {
     /// Service and key.
     pub id: String,
-    /// Digest of the request, so that a key is not used for two different ones.
+    /// Digest of the request, which detects the use of one key for two different requests.
     pub digest: String,
-    /// The reservation that may tell what became of it.
+    /// The reservation whose holder may report the outcome of the request.
     pub holder: String,
-    /// What is known.
+    /// What is known about the request.
     pub state: KeyState,
     /// When the key was first seen.
     pub accepted: UnixMillis,
 }
 
 impl KeyRecord {
-    /// Joins two views of one key; the one that surely ran wins, then the one that may have run.
+    /// Merges two records of one key. A record of a request that certainly ran takes precedence, then
+    /// one of a request that may have run.
     pub(crate) fn merge(self, other: Self) -> Self {
         let weight = |record: &Self| match record.state {
             KeyState::Answered(_) => 3,
@@ -81,7 +82,7 @@
         /// The epoch; leaders of that domain with a lower one must not go on with such jobs.
         epoch: u64,
     },
-    /// The record with this name is not needed any more.
+    /// The record with this name was removed.
     Gone(String),
 }
 
@@ -116,25 +117,25 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct JournalSegment {
-    /// Place in the journal, from 1.
+    /// Position in the journal, from 1.
     pub number: u64,
     /// The leader that wrote it.
     pub token: FencingToken,
-    /// Identifies the write, so that a lost answer can be settled by reading.
+    /// Identifies the write: if its answer was lost, reading the slot shows whether it was made.
     pub write_id: String,
     /// Records, the later ones replacing earlier ones of the same name.
     pub records: Vec<LedgerRecord>,
 }
 
-/// Where the journal starts.
+/// Start of the journal: the snapshot that it continues.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct JournalBase {
-    /// Generation of the snapshot; its parity tells where its parts are.
+    /// Generation of the snapshot; its parity selects the keys of its parts.
     pub generation: u64,
-    /// Last segment that the snapshot covers.
+    /// Number of the last segment that the snapshot covers.
     pub covers: u64,
-    /// Number of parts.
+    /// Number of parts of the snapshot.
     pub parts: u64,
     /// The leader that wrote it.
     pub token: FencingToken,
--- a/src/placement/task.rs
+++ b/src/placement/task.rs
@@ -17,7 +17,7 @@
     Cancelled,
     /// Urgent work needs its capacity; the task is checkpointed and queued again.
     Preempted,
-    /// Not all tasks of its job could start.
+    /// Another task of its all-at-once job ended without success; all start again together.
     GangFailed,
     /// Its worker is leaving.
     Leaving,
