--- a/src/placement/gang.rs
+++ b/src/placement/gang.rs
@@ -9,7 +9,7 @@
 use crate::placement::pool::{PoolWorker, WorkerPool};
 use crate::resources::ResourceVector;
 
-/// Time past the expected one after which an overdue reservation admits no other tasks.
+/// Delay past the expected time after which a reservation admits no tasks of other jobs.
 const OVERDUE_LIMIT: Duration = Duration::from_secs(60);
 
 /// Workers reserved for one job. Only one job has a reservation at a time, so reservations cannot
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -314,7 +314,7 @@
     }
 
     /// Adds a job. With `may_be_running`, its tasks may run on workers that have not answered yet and
-    /// are not queued until [`Self::clear_suspects`].
+    /// are not queued before it is certain that they do not.
     pub fn add_job(&mut self, record: &JobRecord, may_be_running: bool) {
         if self.jobs.contains_key(&record.spec.id) || record.is_over() {
             return;
@@ -365,7 +365,7 @@
     }
 
     /// Tells whether a job is known and has not ended.
-    pub fn knows(&self, job: &JobId) -> bool {
+    pub fn contains_job(&self, job: &JobId) -> bool {
         self.jobs.contains_key(job)
     }
 
--- a/src/routing/shares.rs
+++ b/src/routing/shares.rs
@@ -109,7 +109,7 @@
 
     /// Clears the shares of an entry that reports after they have expired.
     fn expire(&mut self, now: Instant, report: &DemandReport) {
-        let max_share_age = self.lapse();
+        let max_share_age = self.max_share_age();
         if let Some(state) = self.entries.get_mut(&report.entry)
             && state.last_grant.is_some_and(|at| now >= at + max_share_age)
         {
@@ -289,7 +289,7 @@
     }
 
     /// Time after which a share that is not renewed is certain to be out of use.
-    pub fn lapse(&self) -> Duration {
+    pub fn max_share_age(&self) -> Duration {
         self.timing.share_ttl + self.timing.attempt_limit
     }
 }
