--- a/src/domain.rs
+++ b/src/domain.rs
@@ -1,4 +1,4 @@
-//! All decisions of one entry for its failure domain, joined.
+//! Decision logic of one entry for its failure domain, free of input and output.
 
 mod calls;
 mod controller;
--- a/src/domain/calls.rs
+++ b/src/domain/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of callers and operators: answered here or handed to the leader that can.
+//! Calls from callers and operators: answered here or forwarded to the responsible leader.
 
 use tokio::time::Instant;
 
@@ -8,17 +8,17 @@
 use crate::ledger::LedgerRecord;
 use crate::message::{CallRefusal, ClientAnswer, ClientCall, PeerMessage};
 
-/// Calls that may wait for a leader to know its jobs.
-const MAX_EARLY_CALLS: usize = 1_024;
-/// Jobs in one list.
-const MAX_LISTED: usize = 1_000;
+/// Maximum number of calls that wait until a new leader has loaded its jobs.
+const MAX_DEFERRED_CALLS: usize = 1_024;
+/// Maximum number of jobs in one list.
+const MAX_LISTED_JOBS: usize = 1_000;
 
 impl DomainController {
-    /// Takes a call of a client of this entry or of a peer.
-    pub(crate) fn client_call(&mut self, now: Instant, to: ReplyTo, call: ClientCall) {
+    /// Handles a call from a client of this entry or from a peer.
+    pub(crate) fn handle_client_call(&mut self, now: Instant, to: ReplyTo, call: ClientCall) {
         match call {
             ClientCall::Plan(request) => {
-                let cluster = self.peers.cluster(now, &self.own_summary());
+                let cluster = self.peers.cluster(now, &self.domain_summary());
                 let config = self.config.current();
                 let plan = PlanDocument::new(config, request, &cluster, &self.domains);
                 self.reply(&to, ClientAnswer::Plan(Box::new(plan)));
@@ -32,7 +32,7 @@
                 let dump = self.dump(now);
                 self.reply(&to, ClientAnswer::Dump(dump));
             }
-            call => self.domain_call(now, to, call),
+            call => self.route_call(now, to, call),
         }
     }
 
@@ -41,70 +41,79 @@
             return self
                 .refuse(to, CallRefusal::NotFound("confirms are not handed over".to_owned()));
         };
-        let cluster = self.peers.cluster(now, &self.own_summary());
+        let cluster = self.peers.cluster(now, &self.domain_summary());
         let outputs = self.config.confirm(now, *id, plan, &cluster, &self.domains);
-        self.config_outputs(now, outputs);
+        self.apply_config_outputs(now, outputs);
     }
 
-    /// The failure domain that keeps what a call is about.
-    fn home(&self, call: &ClientCall) -> Option<DomainId> {
-        let by_name = |name: &str| home_domain(name, &self.domains).cloned();
+    /// The failure domain whose leader answers a call.
+    fn call_domain(&self, call: &ClientCall) -> Option<DomainId> {
+        let home_of_name = |name: &str| home_domain(name, &self.domains).cloned();
         match call {
             ClientCall::Submit(request) => {
                 let config = self.config.current();
-                let only = config.intents.get(&request.intent).and_then(|i| i.spec.domain.clone());
-                only.or_else(|| by_name(&request.id))
+                let pinned_domain =
+                    config.intents.get(&request.intent).and_then(|i| i.spec.domain.clone());
+                pinned_domain.or_else(|| home_of_name(&request.id))
             }
-            ClientCall::Cancel(id) | ClientCall::Job(id) => self.home_of_job(id),
+            ClientCall::Cancel(id) | ClientCall::Job(id) => self.job_domain(id),
             ClientCall::Jobs { domain, .. } => Some(domain.clone()),
-            ClientCall::ReserveKey { id, .. } | ClientCall::CompleteKey { id, .. } => by_name(id),
+            ClientCall::ReserveKey { id, .. } | ClientCall::CompleteKey { id, .. } => {
+                home_of_name(id)
+            }
             _ => Some(self.identity.domain.clone()),
         }
     }
 
-    /// Jobs of intents carry their failure domain in their name.
-    fn home_of_job(&self, id: &str) -> Option<DomainId> {
-        let named = id.rsplit_once('@').map(|(_, domain)| domain);
-        match self.domains.iter().find(|domain| Some(&***domain) == named) {
+    /// The failure domain that keeps a job. The names of jobs made from intents contain it.
+    fn job_domain(&self, id: &str) -> Option<DomainId> {
+        let domain_name = id.rsplit_once('@').map(|(_, domain)| domain);
+        match self.domains.iter().find(|domain| Some(&***domain) == domain_name) {
             Some(domain) => Some(domain.clone()),
             None => home_domain(id, &self.domains).cloned(),
         }
     }
 
-    fn domain_call(&mut self, now: Instant, to: ReplyTo, call: ClientCall) {
-        let Some(home) = self.home(&call) else {
+    fn route_call(&mut self, now: Instant, to: ReplyTo, call: ClientCall) {
+        let Some(call_domain) = self.call_domain(&call) else {
             return self.refuse(&to, CallRefusal::NoLeader);
         };
-        let local = home == self.identity.domain;
-        let handed_over = matches!(to, ReplyTo::Peer(..));
+        let local = call_domain == self.identity.domain;
+        let is_forwarded = matches!(to, ReplyTo::Peer(..));
         match &mut self.leader {
-            Some(leader) if (local || handed_over) && leader.active => {
-                self.leader_call(now, to, call);
+            Some(leader) if (local || is_forwarded) && leader.active => {
+                self.handle_as_leader(now, to, call);
             }
-            Some(leader) if local && leader.early_calls.len() < MAX_EARLY_CALLS => {
-                leader.early_calls.push((to, call));
+            Some(leader) if local && leader.deferred_calls.len() < MAX_DEFERRED_CALLS => {
+                leader.deferred_calls.push((to, call));
             }
-            _ if handed_over => self.refuse(&to, CallRefusal::NoLeader),
-            _ => self.hand_over(now, &to, &home, call),
+            _ if is_forwarded => self.refuse(&to, CallRefusal::NoLeader),
+            _ => self.forward_call(now, &to, &call_domain, call),
         }
     }
 
-    /// Hands a call to the leader of a failure domain.
-    fn hand_over(&mut self, now: Instant, to: &ReplyTo, home: &DomainId, call: ClientCall) {
-        let Some(leader) = self.peers.leader_of(now, home) else {
+    /// Forwards a call to the leader of a failure domain.
+    fn forward_call(
+        &mut self,
+        now: Instant,
+        to: &ReplyTo,
+        call_domain: &DomainId,
+        call: ClientCall,
+    ) {
+        let Some(leader) = self.peers.leader_of(now, call_domain) else {
             return self.refuse(to, CallRefusal::NoLeader);
         };
         let ReplyTo::Client(id) = to else {
             return;
         };
-        let dropped = self.peers.expect_answer(now, *id, leader.clone(), call.clone());
+        let dropped = self.peers.track_forwarded_call(now, *id, leader.clone(), call.clone());
         if let Some(id) = dropped {
             self.refuse(&ReplyTo::Client(id), CallRefusal::Busy);
         }
-        self.tell(&leader, PeerMessage::Call(*id, call));
+        self.send_peer(&leader, PeerMessage::Call(*id, call));
     }
 
-    fn leader_call(&mut self, now: Instant, to: ReplyTo, call: ClientCall) {
+    fn handle_as_leader(&mut self, now: Instant, to: ReplyTo, call: ClientCall) {
         if !self.leadership.may_act(now) {
             return self.refuse(&to, CallRefusal::NoLeader);
         }
@@ -131,13 +140,14 @@
             LedgerRecord::Job(job) if job.spec.id.starts_with(prefix) => Some(job.spec.id.clone()),
             _ => None,
         });
-        let ids: Vec<_> = ids.take(MAX_LISTED).collect();
+        let ids: Vec<_> = ids.take(MAX_LISTED_JOBS).collect();
         let views = ids.iter().filter_map(|id| self.view_job(id)).collect();
         self.reply(to, ClientAnswer::Jobs(views));
     }
 
-    /// A call that was handed over got no answer.
-    pub(crate) fn give_up_call(&mut self, id: u64, call: &ClientCall) {
+    /// Refuses a forwarded call that was not answered in time. A call that only reads may be
+    /// repeated; the outcome of any other call is unknown.
+    pub(crate) fn refuse_overdue_call(&mut self, id: u64, call: &ClientCall) {
         let refusal = match call {
             ClientCall::Job(_) | ClientCall::Jobs { .. } => CallRefusal::NoLeader,
             _ => CallRefusal::Unknown,
--- a/src/domain/controller.rs
+++ b/src/domain/controller.rs
@@ -1,4 +1,4 @@
-//! Joins the controllers of one entry and passes events and actions between them.
+//! Connects the controllers of one entry and passes events and actions between them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -23,47 +23,47 @@
 use crate::token::FencingToken;
 use crate::worker::WorkerCommand;
 
-/// Where an answer goes.
+/// Destination of an answer.
 #[derive(Clone, Debug)]
 pub(crate) enum ReplyTo {
-    /// To a client of this entry.
+    /// A client of this entry.
     Client(CallId),
-    /// To a peer that handed the call over.
+    /// A peer that forwarded the call.
     Peer(EntryId, CallId),
 }
 
-/// What waits until a change is durable.
+/// An action that waits until a change is durable.
 #[derive(Clone, Debug)]
 pub(crate) enum CommitWaiter {
-    /// A start that must not happen before its mark is durable.
+    /// Start a task that is not idempotent, after its start is recorded.
     Start { worker: WorkerId, task: TaskId, attempt: Attempt, command: WorkerCommand },
-    /// An end that the worker need not list any more.
+    /// Let the worker drop an ended task from its list, after the end is recorded.
     Forget { worker: WorkerId, task: TaskId, attempt: Attempt },
-    /// An answer.
+    /// Send an answer.
     Answer(ReplyTo, ClientAnswer),
 }
 
-/// What an entry holds while it leads.
+/// State that an entry has only while it leads.
 #[derive(Debug)]
 pub(crate) struct LeaderState {
     pub(crate) token: FencingToken,
     pub(crate) scheduler: TaskScheduler,
     pub(crate) shares: ShareTable,
-    /// Whether jobs are known and workers are being claimed.
+    /// Whether the jobs are loaded and workers are being claimed.
     pub(crate) active: bool,
-    /// Whether it is known what every worker runs.
+    /// Whether the running tasks of every worker are known.
     pub(crate) settled: bool,
-    /// Upstreams that are tasks of services.
+    /// Upstreams that are tasks of services, by task.
     pub(crate) endpoints: BTreeMap<TaskId, UpstreamSpec>,
     pub(crate) waiters: BTreeMap<u64, Vec<CommitWaiter>>,
-    /// Ends that are being made durable before the worker forgets them.
+    /// Ended tasks that are being made durable before the worker drops them.
     pub(crate) forgetting: BTreeSet<(WorkerId, TaskId, Attempt)>,
-    /// Calls that wait until jobs are known.
-    pub(crate) early_calls: Vec<(ReplyTo, crate::message::ClientCall)>,
+    /// Calls that wait until the jobs are loaded.
+    pub(crate) deferred_calls: Vec<(ReplyTo, crate::message::ClientCall)>,
 }
 
-/// All decisions of one entry for its failure domain, without input or output: events with the time
-/// come in, actions go out.
+/// Decision logic of one entry for its failure domain. It does no input or output: it takes events
+/// with the current time and returns actions.
 #[derive(Debug)]
 pub struct DomainController {
     pub(crate) identity: EntryIdentity,
@@ -77,24 +77,24 @@
     pub(crate) quota: QuotaController,
     pub(crate) moves: MoveController,
     pub(crate) leader: Option<LeaderState>,
-    /// Records of the domain as its leader last sent them.
-    pub(crate) warm: BTreeMap<String, LedgerRecord>,
-    /// Upstreams that the platform lists.
+    /// Copies of the ledger records, as sent to this follower by the leader of the domain.
+    pub(crate) warm_records: BTreeMap<String, LedgerRecord>,
+    /// Upstreams in the list of the platform.
     pub(crate) listed_upstreams: Vec<UpstreamSpec>,
     pub(crate) leaving_upstreams: BTreeSet<UpstreamId>,
     pub(crate) silent_workers: BTreeSet<WorkerId>,
     pub(crate) leaving_workers: BTreeSet<WorkerId>,
     pub(crate) draining: bool,
     pub(crate) actions: Vec<DomainAction>,
-    next_collect: Instant,
-    next_changes: Instant,
+    next_cleanup: Instant,
+    next_replication: Instant,
 }
 
 impl DomainController {
-    /// Starts as follower. `unix` is the time of day at `now`.
+    /// Creates the controller as a follower. `unix` is the time of day at `now`.
     pub fn new(now: Instant, unix: UnixMillis, identity: EntryIdentity) -> Self {
-        let near = identity.domain_entries();
-        let rank = near.iter().position(|entry| *entry == identity.entry).unwrap_or(0);
+        let domain_entries = identity.domain_entries();
+        let rank = domain_entries.iter().position(|entry| *entry == identity.entry).unwrap_or(0);
         let (entry, domain) = (identity.entry.clone(), identity.domain.clone());
         let (boot, timing) = (identity.boot, identity.timing);
         Self {
@@ -115,15 +115,15 @@
             quota: QuotaController::new(now, &identity),
             moves: MoveController::new(now, &identity),
             leader: None,
-            warm: BTreeMap::new(),
+            warm_records: BTreeMap::new(),
             listed_upstreams: Vec::new(),
             leaving_upstreams: BTreeSet::new(),
             silent_workers: BTreeSet::new(),
             leaving_workers: BTreeSet::new(),
             draining: false,
             actions: Vec::new(),
-            next_collect: now,
-            next_changes: now,
+            next_cleanup: now,
+            next_replication: now,
             identity,
         }
     }
@@ -138,49 +138,51 @@
         self.leader.as_ref().map(|leader| &leader.scheduler)
     }
 
-    /// Revision in force here.
+    /// Revision of the current configuration.
     pub fn revision(&self) -> crate::id::Revision {
         self.config.current().revision
     }
 
-    /// The configuration in force here.
+    /// The current configuration.
     pub fn config(&self) -> &crate::config::ConfigRevision {
         self.config.current()
     }
 
-    /// Tells whether the configuration is known well enough to serve from it.
+    /// Tells whether the entry can serve: the configuration is known and no planned stop has begun.
     pub fn ready(&self) -> bool {
         self.config.learned() && !self.draining
     }
 
-    /// Takes an event and gives what follows from it.
+    /// Processes an event and returns the resulting actions.
     pub fn handle(&mut self, now: Instant, event: DomainEvent) -> Vec<DomainAction> {
         match event {
             DomainEvent::Tick => self.tick(now),
-            DomainEvent::Store(owner, id, outcome) => self.store_answer(now, owner, id, outcome),
+            DomainEvent::Store(owner, id, outcome) => {
+                self.handle_store_outcome(now, owner, id, outcome)
+            }
             DomainEvent::Head(stored) => {
                 let outputs = self.config.on_head(stored.as_ref());
-                self.config_outputs(now, outputs);
+                self.apply_config_outputs(now, outputs);
             }
             DomainEvent::Worker(worker, id, reply) => {
                 let outputs = self.fleet.reply(now, &worker, id, reply);
-                self.fleet_outputs(now, outputs);
+                self.apply_fleet_outputs(now, outputs);
             }
-            DomainEvent::Vms(vms) => self.list_vms(now, &vms),
-            DomainEvent::Peer(peer, message) => self.hear_peer(now, &peer, message),
-            DomainEvent::PeerGone(peer) => self.peer_gone(now, &peer),
-            DomainEvent::Call(id, call) => self.client_call(now, ReplyTo::Client(id), call),
+            DomainEvent::Vms(vms) => self.update_vms(now, &vms),
+            DomainEvent::Peer(peer, message) => self.handle_peer_message(now, &peer, message),
+            DomainEvent::PeerGone(peer) => self.handle_peer_gone(now, &peer),
+            DomainEvent::Call(id, call) => self.handle_client_call(now, ReplyTo::Client(id), call),
             DomainEvent::Demand(report, free) => {
-                self.peers.set_own_room(free);
-                self.own_demand(now, report);
+                self.peers.set_own_free_slots(free);
+                self.handle_own_demand(now, report);
             }
-            DomainEvent::Leave => self.leave(now),
+            DomainEvent::Leave => self.start_drain(now),
         }
         self.advance(now);
         std::mem::take(&mut self.actions)
     }
 
-    fn store_answer(
+    fn handle_store_outcome(
         &mut self,
         now: Instant,
         owner: StoreOwner,
@@ -190,52 +192,53 @@
         match owner {
             StoreOwner::Leadership => {
                 let actions = self.leadership.answer(now, id, outcome);
-                self.leadership_actions(now, actions);
+                self.apply_leadership_actions(now, actions);
             }
             StoreOwner::Journal => {
                 let outputs = self.journal.answer(now, id, outcome);
-                self.journal_outputs(now, outputs);
+                self.apply_journal_outputs(now, outputs);
             }
             StoreOwner::Config => {
-                let cluster = self.peers.cluster(now, &self.own_summary());
+                let cluster = self.peers.cluster(now, &self.domain_summary());
                 let outputs = self.config.answer(now, id, outcome, &cluster, &self.domains);
-                self.config_outputs(now, outputs);
+                self.apply_config_outputs(now, outputs);
             }
-            StoreOwner::Quota => self.quota_answer(now, id, outcome),
-            StoreOwner::Moves => self.moves_answer(now, id, outcome),
+            StoreOwner::Quota => self.handle_quota_outcome(now, id, outcome),
+            StoreOwner::Moves => self.handle_moves_outcome(now, id, outcome),
         }
     }
 
     fn tick(&mut self, now: Instant) {
         let actions = self.leadership.tick(now);
-        self.leadership_actions(now, actions);
+        self.apply_leadership_actions(now, actions);
         let outputs = self.journal.tick(now);
-        self.journal_outputs(now, outputs);
+        self.apply_journal_outputs(now, outputs);
         let outputs = self.config.tick(now);
-        self.config_outputs(now, outputs);
+        self.apply_config_outputs(now, outputs);
         self.peers_tick(now);
         self.quota_tick(now);
         self.moves_tick(now);
-        if now >= self.next_collect {
-            self.next_collect = now + COLLECT_INTERVAL;
-            self.collect_records(now);
+        if now >= self.next_cleanup {
+            self.next_cleanup = now + CLEANUP_INTERVAL;
+            self.remove_expired_records(now);
         }
     }
 
-    /// Lets whatever has become possible happen.
+    /// Performs the steps that an event may have made possible.
     fn advance(&mut self, now: Instant) {
         self.settle(now);
-        self.place(now);
-        self.drive_workers(now);
+        self.run_placement(now);
+        self.tick_fleet(now);
         let outputs = self.journal.tick(now);
-        self.journal_outputs(now, outputs);
-        if now >= self.next_changes && self.leader.as_ref().is_some_and(|leader| leader.active) {
-            self.next_changes = now + self.identity.timing.commit_interval;
-            self.send_changes();
+        self.apply_journal_outputs(now, outputs);
+        if now >= self.next_replication && self.leader.as_ref().is_some_and(|leader| leader.active)
+        {
+            self.next_replication = now + self.identity.timing.commit_interval;
+            self.replicate_changes();
         }
     }
 
-    pub(crate) fn store(
+    pub(crate) fn call_store(
         &mut self,
         owner: StoreOwner,
         id: CallId,
@@ -244,7 +247,7 @@
         self.actions.push(DomainAction::Store(owner, id, request));
     }
 
-    pub(crate) fn tell(&mut self, peer: &EntryId, message: PeerMessage) {
+    pub(crate) fn send_peer(&mut self, peer: &EntryId, message: PeerMessage) {
         self.actions.push(DomainAction::Peer(peer.clone(), message));
     }
 
@@ -258,22 +261,26 @@
         }
     }
 
-    pub(crate) fn leadership_actions(&mut self, now: Instant, actions: Vec<LeadershipAction>) {
+    pub(crate) fn apply_leadership_actions(
+        &mut self,
+        now: Instant,
+        actions: Vec<LeadershipAction>,
+    ) {
         for action in actions {
             match action {
                 LeadershipAction::Call(id, request) => {
-                    self.store(StoreOwner::Leadership, id, request);
+                    self.call_store(StoreOwner::Leadership, id, request);
                 }
-                LeadershipAction::Lead(token) => self.lead(now, token),
-                LeadershipAction::Follow => self.follow(now),
+                LeadershipAction::Lead(token) => self.become_leader(now, token),
+                LeadershipAction::Follow => self.become_follower(now),
             }
         }
     }
 
-    fn lead(&mut self, now: Instant, token: FencingToken) {
-        info!("{} leads {} under {token:?}", self.identity.entry, self.identity.domain);
+    fn become_leader(&mut self, now: Instant, token: FencingToken) {
+        info!("{} leads {} with {token:?}", self.identity.entry, self.identity.domain);
         metrics::counter!("kelplink_takeovers_total").increment(1);
-        self.withdraw_starts(now);
+        self.withdraw_waiting_starts(now);
         let entries = self.identity.domain_entries();
         let shares = ShareTable::new(now, token.clone(), entries, self.identity.timing);
         match &mut self.leader {
@@ -292,28 +299,28 @@
                     endpoints: BTreeMap::new(),
                     waiters: BTreeMap::new(),
                     forgetting: BTreeSet::new(),
-                    early_calls: Vec::new(),
+                    deferred_calls: Vec::new(),
                 });
             }
         }
-        self.quota.lead(now);
-        self.moves.lead(now);
+        self.quota.start_term(now);
+        self.moves.start_term(now);
         match token.round {
             0 => {
                 let outputs = self.journal.recover(token);
-                self.journal_outputs(now, outputs);
+                self.apply_journal_outputs(now, outputs);
             }
             _ => {
-                let fresh = self.journal.is_empty();
-                if fresh {
-                    self.journal.preload(self.warm.values().cloned().collect::<Vec<_>>());
+                let ledger_is_empty = self.journal.is_empty();
+                if ledger_is_empty {
+                    self.journal.preload(self.warm_records.values().cloned().collect::<Vec<_>>());
                 }
                 self.activate(now);
             }
         }
     }
 
-    /// Jobs are known: takes them in and claims the workers.
+    /// Adds the jobs of the journal to the scheduler and starts to claim the workers.
     fn activate(&mut self, now: Instant) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -331,20 +338,20 @@
         leader.settled = false;
         let token = leader.token.clone();
         leader.scheduler.lead(&token);
-        let early = std::mem::take(&mut leader.early_calls);
+        let deferred = std::mem::take(&mut leader.deferred_calls);
         self.silent_workers.clear();
         self.fleet.lead(now, token);
-        self.close_workers();
-        self.restore_upstreams();
-        self.apply_parts();
+        self.exclude_unavailable_workers();
+        self.update_upstreams();
+        self.apply_quota_parts();
         self.reconcile(now);
-        for (to, call) in early {
-            self.client_call(now, to, call);
+        for (to, call) in deferred {
+            self.handle_client_call(now, to, call);
         }
-        self.peers.hurry(now);
+        self.peers.make_heartbeats_due(now);
     }
 
-    fn follow(&mut self, now: Instant) {
+    fn become_follower(&mut self, now: Instant) {
         info!("{} follows in {}", self.identity.entry, self.identity.domain);
         let Some(leader) = self.leader.take() else {
             return;
@@ -356,61 +363,63 @@
         for to in answers.collect::<Vec<_>>() {
             self.reply(&to, ClientAnswer::Refused(CallRefusal::Unknown));
         }
-        for (to, _) in leader.early_calls {
+        for (to, _) in leader.deferred_calls {
             self.reply(&to, ClientAnswer::Refused(CallRefusal::NoLeader));
         }
         let records: Vec<LedgerRecord> = self.journal.records().cloned().collect();
-        self.warm = records.into_iter().map(|record| (record.name(), record)).collect();
+        self.warm_records = records.into_iter().map(|record| (record.name(), record)).collect();
         self.journal.close();
         self.fleet.follow();
-        self.peers.hurry(now);
+        self.peers.make_heartbeats_due(now);
     }
 
-    fn leave(&mut self, now: Instant) {
+    fn start_drain(&mut self, now: Instant) {
         self.draining = true;
         let actions = self.leadership.leave(now);
-        self.leadership_actions(now, actions);
-        self.peers.hurry(now);
+        self.apply_leadership_actions(now, actions);
+        self.peers.make_heartbeats_due(now);
         self.peers_tick(now);
     }
 
-    pub(crate) fn journal_outputs(&mut self, now: Instant, outputs: Vec<JournalOutput>) {
+    pub(crate) fn apply_journal_outputs(&mut self, now: Instant, outputs: Vec<JournalOutput>) {
         for output in outputs {
             match output {
-                JournalOutput::Call(id, request) => self.store(StoreOwner::Journal, id, request),
+                JournalOutput::Call(id, request) => {
+                    self.call_store(StoreOwner::Journal, id, request)
+                }
                 JournalOutput::Recovered(_) => {
                     self.drop_moved_jobs();
                     self.activate(now);
                 }
-                JournalOutput::Committed(ticket) => self.committed(ticket),
+                JournalOutput::Committed(ticket) => self.run_committed_waiters(ticket),
                 JournalOutput::Fenced => {
-                    warn!("another leader has written the ledger: stepping down");
+                    warn!("another leader has written to the ledger: stepping down");
                     let actions = self.leadership.step_down(now);
-                    self.leadership_actions(now, actions);
+                    self.apply_leadership_actions(now, actions);
                 }
             }
         }
     }
 
-    /// Registers what happens when a change is durable.
-    pub(crate) fn when_durable(&mut self, ticket: u64, waiter: CommitWaiter) {
+    /// Registers an action that runs when a change is durable.
+    pub(crate) fn run_when_durable(&mut self, ticket: u64, waiter: CommitWaiter) {
         if let Some(leader) = &mut self.leader {
             leader.waiters.entry(ticket).or_default().push(waiter);
         }
     }
 
-    fn committed(&mut self, ticket: u64) {
+    fn run_committed_waiters(&mut self, ticket: u64) {
         let Some(leader) = &mut self.leader else {
             return;
         };
         let later = leader.waiters.split_off(&(ticket + 1));
         let ready = std::mem::replace(&mut leader.waiters, later);
         for waiter in ready.into_values().flatten() {
-            self.carry_out(waiter);
+            self.run_waiter(waiter);
         }
     }
 
-    fn carry_out(&mut self, waiter: CommitWaiter) {
+    fn run_waiter(&mut self, waiter: CommitWaiter) {
         match waiter {
             CommitWaiter::Start { worker, task, attempt, command } => {
                 let wanted = self.leader.as_ref().is_some_and(|leader| {
@@ -431,21 +440,21 @@
         }
     }
 
-    pub(crate) fn config_outputs(&mut self, now: Instant, outputs: Vec<ConfigOutput>) {
+    pub(crate) fn apply_config_outputs(&mut self, now: Instant, outputs: Vec<ConfigOutput>) {
         for output in outputs {
             match output {
-                ConfigOutput::Call(id, request) => self.store(StoreOwner::Config, id, request),
+                ConfigOutput::Call(id, request) => self.call_store(StoreOwner::Config, id, request),
                 ConfigOutput::Adopted(_) => {
-                    self.peers.hurry(now);
-                    self.apply_parts();
+                    self.peers.make_heartbeats_due(now);
+                    self.apply_quota_parts();
                     self.reconcile(now);
-                    self.quota.hurry(now);
+                    self.quota.schedule_recheck(now);
                 }
                 ConfigOutput::Push(peer) => {
                     let config = Box::new(self.config.current().clone());
-                    self.tell(&peer, PeerMessage::Config(config));
+                    self.send_peer(&peer, PeerMessage::Config(config));
                 }
-                ConfigOutput::Ask(peer) => self.tell(&peer, PeerMessage::AskConfig),
+                ConfigOutput::Ask(peer) => self.send_peer(&peer, PeerMessage::AskConfig),
                 ConfigOutput::Confirmed(id, Ok(revision)) => {
                     self.reply(&ReplyTo::Client(id), ClientAnswer::Confirmed(revision));
                 }
@@ -456,7 +465,7 @@
         }
     }
 
-    fn list_vms(&mut self, now: Instant, vms: &[VmRecord]) {
+    fn update_vms(&mut self, now: Instant, vms: &[VmRecord]) {
         let own: Vec<&VmRecord> =
             vms.iter().filter(|vm| vm.domain == self.identity.domain).collect();
         let mut workers: Vec<(WorkerSpec, SocketAddr)> = Vec::new();
@@ -485,14 +494,14 @@
         }
         self.listed_upstreams = upstreams;
         self.fleet.list(now, &workers);
-        self.close_workers();
-        self.restore_upstreams();
+        self.exclude_unavailable_workers();
+        self.update_upstreams();
         let leaving = self.leaving_upstreams.clone();
         self.actions.push(DomainAction::Leaving(leaving));
     }
 
-    /// Closes workers for new work that are leaving or do not answer.
-    pub(crate) fn close_workers(&mut self) {
+    /// Excludes workers from new placements that are leaving or do not answer.
+    pub(crate) fn exclude_unavailable_workers(&mut self) {
         let Some(leader) = &mut self.leader else {
             return;
         };
@@ -504,8 +513,8 @@
         }
     }
 
-    /// Hands the shares' table all upstreams: listed ones and tasks of services.
-    pub(crate) fn restore_upstreams(&mut self) {
+    /// Updates the upstreams of the share table: listed ones and tasks of services.
+    pub(crate) fn update_upstreams(&mut self) {
         let Some(leader) = &mut self.leader else {
             return;
         };
@@ -515,59 +524,59 @@
         leader.shares.set_upstreams(all);
     }
 
-    fn drive_workers(&mut self, now: Instant) {
+    fn tick_fleet(&mut self, now: Instant) {
         let Some(leader) = &mut self.leader else {
             return;
         };
         if !leader.active {
             return;
         }
-        let cover = self.moves.cover(now, self.leadership.deadline());
-        leader.scheduler.allow_movable(cover.is_some());
+        let movable_until = self.moves.movable_until(now, self.leadership.deadline());
+        leader.scheduler.allow_movable(movable_until.is_some());
         let detached = self.leadership.deadline().is_none_or(|deadline| now >= deadline);
         leader.shares.set_detached(detached);
-        let outputs = self.fleet.tick(now, cover, self.leadership.may_act(now));
-        self.fleet_outputs(now, outputs);
+        let outputs = self.fleet.tick(now, movable_until, self.leadership.may_act(now));
+        self.apply_fleet_outputs(now, outputs);
     }
 
-    pub(crate) fn fleet_outputs(&mut self, now: Instant, outputs: Vec<FleetOutput>) {
+    pub(crate) fn apply_fleet_outputs(&mut self, now: Instant, outputs: Vec<FleetOutput>) {
         for output in outputs {
             match output {
                 FleetOutput::Exchange { id, worker, address, request } => {
                     self.actions.push(DomainAction::Worker { worker, address, id, request });
                 }
-                FleetOutput::Claimed(spec, tasks) => self.worker_claimed(now, spec, &tasks),
-                FleetOutput::Listed(worker, tasks) => self.worker_listed(now, &worker, &tasks),
+                FleetOutput::Claimed(spec, tasks) => self.handle_worker_claimed(now, spec, &tasks),
+                FleetOutput::Listed(worker, tasks) => self.handle_task_list(now, &worker, &tasks),
                 FleetOutput::Vanished(worker, task) => {
                     if let Some(leader) = &mut self.leader {
                         leader.scheduler.task_vanished(now, &worker, &task);
                     }
-                    self.drop_endpoint(&task);
+                    self.remove_endpoint(&task);
                 }
                 FleetOutput::Outranked(token) => {
                     let actions = self.leadership.on_token(now, &token);
-                    self.leadership_actions(now, actions);
+                    self.apply_leadership_actions(now, actions);
                 }
                 FleetOutput::Silent(worker, silent) => {
                     match silent {
                         true => self.silent_workers.insert(worker),
                         false => self.silent_workers.remove(&worker),
                     };
-                    self.close_workers();
+                    self.exclude_unavailable_workers();
                 }
                 FleetOutput::LeaseExpired(worker) => {
-                    warn!("worker {worker} is lost: its leases have lapsed");
+                    warn!("worker {worker} is lost: its leases have expired");
                     if let Some(leader) = &mut self.leader {
                         leader.scheduler.remove_worker(now, &worker);
                         let live = leader.scheduler.live();
                         leader.endpoints.retain(|task, _| live.contains_key(task));
                     }
-                    self.restore_upstreams();
+                    self.update_upstreams();
                 }
             }
         }
     }
 }
 
-/// Interval between searches for records that are not needed any more.
-const COLLECT_INTERVAL: std::time::Duration = std::time::Duration::from_secs(60);
+/// Interval between removals of expired records.
+const CLEANUP_INTERVAL: std::time::Duration = std::time::Duration::from_secs(60);
--- a/src/domain/event.rs
+++ b/src/domain/event.rs
@@ -1,4 +1,4 @@
-//! What comes into the controllers of a failure domain and what goes out of them.
+//! Input events and output actions of the controllers of a failure domain.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,18 +14,18 @@
 use crate::store::{StoreOutcome, StoreRequest, StoredValue};
 use crate::worker::{WorkerReply, WorkerRequest};
 
-/// Who an entry is and whom it knows.
+/// Identity of an entry, its peers and its timing settings.
 #[derive(Clone, Debug)]
 pub struct EntryIdentity {
-    /// Its name.
+    /// Name of the entry.
     pub entry: EntryId,
-    /// Its failure domain.
+    /// Failure domain of the entry.
     pub domain: DomainId,
-    /// Tells this start of the process from earlier ones; later starts have higher numbers.
+    /// Number of this start of the process; later starts have higher numbers.
     pub boot: u64,
     /// All other entries with their failure domains.
     pub peers: Vec<(EntryId, DomainId)>,
-    /// Time bounds.
+    /// Intervals and time limits.
     pub timing: TimingSettings,
 }
 
@@ -37,121 +37,122 @@
         all.into_iter().cloned().collect()
     }
 
-    /// All entries of the own failure domain in order of name, itself included.
+    /// All entries of this failure domain in order of name, including this one.
     pub fn domain_entries(&self) -> Vec<EntryId> {
-        let near = self.peers.iter().filter(|(_, domain)| *domain == self.domain);
-        let all: BTreeSet<_> = near.map(|(entry, _)| entry).chain([&self.entry]).collect();
+        let domain_peers = self.peers.iter().filter(|(_, domain)| *domain == self.domain);
+        let all: BTreeSet<_> = domain_peers.map(|(entry, _)| entry).chain([&self.entry]).collect();
         all.into_iter().cloned().collect()
     }
 }
 
-/// What a VM is for.
+/// Role of a VM.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(tag = "role", rename_all = "kebab-case")]
 pub enum VmRole {
     /// Runs tasks.
     Worker {
-        /// All that it has.
+        /// Total resources of the VM.
         capacity: ResourceVector,
     },
     /// Answers requests of a service.
     Upstream {
-        /// The service, `workspace/name`.
+        /// Name of the service, `workspace/name`.
         service: ServiceId,
-        /// Requests that it works on at a time.
+        /// Number of requests that it processes concurrently.
         slots: u32,
     },
 }
 
-/// A VM as the platform lists it, with a lag.
+/// A VM in the list of the platform, which lags behind the actual state.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct VmRecord {
-    /// Its name.
+    /// Name of the VM.
     pub id: String,
-    /// Its failure domain.
+    /// Failure domain of the VM.
     pub domain: DomainId,
-    /// Its rack.
+    /// Rack of the VM.
     pub rack: RackId,
-    /// Where it answers.
+    /// Address on which the VM accepts requests.
     pub address: SocketAddr,
-    /// Whether it is about to go.
+    /// Whether the VM is about to be removed.
     pub leaving: bool,
-    /// What it is for.
+    /// Role of the VM.
     #[serde(flatten)]
     pub role: VmRole,
 }
 
-/// Which controller made a call to the store.
+/// The controller that made a call to the store.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum StoreOwner {
-    /// Leadership.
+    /// The leader election.
     Leadership,
-    /// The ledger's journal.
+    /// The journal of the ledger.
     Journal,
-    /// The configuration.
+    /// The configuration controller.
     Config,
-    /// Quotas.
+    /// The quota controller.
     Quota,
-    /// Moves of tasks between failure domains.
+    /// The controller for moves of tasks between failure domains.
     Moves,
 }
 
-/// What comes in.
+/// Input of a [`DomainController`](crate::DomainController).
 #[derive(Clone, Debug)]
 pub enum DomainEvent {
-    /// Time passes.
+    /// Periodic timer.
     Tick,
     /// The outcome of a call to the store.
     Store(StoreOwner, CallId, StoreOutcome),
-    /// The watch on the configuration showed the head.
+    /// The watch on the configuration reported its current head.
     Head(Option<StoredValue>),
-    /// A worker's reply; `None` when none came.
+    /// A worker's reply to an exchange; `None` on a failure or timeout.
     Worker(WorkerId, ExchangeId, Option<WorkerReply>),
     /// The platform's list of VMs.
     Vms(Vec<VmRecord>),
-    /// A message of a peer.
+    /// A message from a peer.
     Peer(EntryId, PeerMessage),
-    /// The process of a peer is surely gone: its port refuses connections.
+    /// The process of a peer has ended: its port refuses connections.
     PeerGone(EntryId),
-    /// A call of a client.
+    /// A call from a client.
     Call(CallId, ClientCall),
-    /// The own router asks for slots and tells which it has free.
+    /// The router of this entry reports its demand for slots and its free slots by service.
     Demand(DemandReport, BTreeMap<ServiceId, u32>),
     /// A planned stop begins.
     Leave,
 }
 
-/// What goes out.
+/// Output of a [`DomainController`](crate::DomainController).
 #[derive(Clone, Debug)]
 pub enum DomainAction {
-    /// Make this call to the store.
+    /// Call the store.
     Store(StoreOwner, CallId, StoreRequest),
-    /// Send this to a worker.
+    /// Send a request to a worker.
     Worker {
         /// The worker.
         worker: WorkerId,
-        /// Where it is.
+        /// Address of the worker.
         address: SocketAddr,
-        /// Number of the exchange.
+        /// Identifies the exchange.
         id: ExchangeId,
         /// The request.
         request: WorkerRequest,
     },
-    /// Send this to a peer.
+    /// Send a message to a peer.
     Peer(EntryId, PeerMessage),
     /// Answer a client.
     Answer(CallId, ClientAnswer),
-    /// Slots for the own router.
+    /// Grant slots to the router of this entry.
     Grant(ShareGrant),
-    /// Upstreams that are leaving, for the own router.
+    /// Report the upstreams that are leaving to the router of this entry.
     Leaving(BTreeSet<UpstreamId>),
-    /// Other entries with free slots by service, for the own router; most first.
+    /// Report the other entries with free slots by service, most free slots first, to the router
+    /// of this entry.
     PeerSlots(BTreeMap<ServiceId, Vec<EntryId>>),
 }
 
-/// Time of day together with the runtime's clock.
+/// Converts instants of the runtime's clock to the time of day.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WallClock {
     base: tokio::time::Instant,
@@ -159,7 +160,7 @@
 }
 
 impl WallClock {
-    /// Ties the time of day to a point of the runtime's clock.
+    /// Creates a clock on which the time of day at `base` is `unix`.
     pub(crate) fn new(base: tokio::time::Instant, unix: UnixMillis) -> Self {
         Self { base, unix }
     }
--- a/src/domain/jobs.rs
+++ b/src/domain/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of the failure domain: taking them in, placing them, and keeping what becomes of them.
+//! Jobs of the failure domain: submission, placement and the record of their outcome.
 
 use std::collections::BTreeSet;
 
@@ -16,19 +16,19 @@
 use crate::routing::UpstreamSpec;
 use crate::worker::{TaskOutcome, TaskReport, TaskUsage, WorkerCommand};
 
-/// Marks jobs that were made from an intent and not submitted by a caller.
+/// Marks the names of jobs that were made from an intent and not submitted by a caller.
 const INTENT_MARK: char = '~';
-/// Jobs that may be open in one failure domain.
-const MAX_OPEN_JOBS: usize = 20_000;
-/// How long the end of a job can be asked for.
-const KEEP_ENDED_MS: u64 = 3_600_000;
-/// How long a request key is remembered.
-const KEEP_KEY_MS: u64 = 86_400_000;
+/// Number of records in the ledger of one failure domain from which on new jobs are refused.
+const MAX_LEDGER_RECORDS: usize = 20_000;
+/// Time for which the record of an ended job is kept.
+const ENDED_JOB_RETENTION_MS: u64 = 3_600_000;
+/// Time for which an idempotency key is kept.
+const KEY_RETENTION_MS: u64 = 86_400_000;
 /// Slots of an upstream that is a task of a service.
 const SERVICE_TASK_SLOTS: u32 = 8;
 
 impl DomainController {
-    /// A record of the ledger, if it is a job.
+    /// Record of a job in the ledger.
     pub(crate) fn job(&self, id: &JobId) -> Option<&JobRecord> {
         match self.journal.get(&job_name(id)) {
             Some(LedgerRecord::Job(record)) => Some(record),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Takes a job in. The answer goes out when it is durable, or at once while the store is down.
+    /// Accepts a job. The answer is sent when the job is durable, or at once while the store is down.
     pub(crate) fn submit(&mut self, now: Instant, to: ReplyTo, request: JobRequest) {
         if let Some(known) = self.job(&request.id) {
             let same = known.spec.intent == request.intent
@@ -59,21 +59,21 @@
         let mut spec = JobSpec::new(request.id.clone(), &intent.spec, intent.changed, unix);
         spec.count = request.count.unwrap_or(spec.count.max(1));
         spec.command = request.command.unwrap_or(spec.command);
-        if let Some(reason) = self.impossible(&spec) {
+        if let Some(reason) = self.impossible_reason(&spec) {
             return self.refuse(&to, CallRefusal::Impossible(reason));
         }
-        if self.journal.len() >= MAX_OPEN_JOBS {
+        if self.journal.len() >= MAX_LEDGER_RECORDS {
             return self.refuse(&to, CallRefusal::Busy);
         }
         if !spec.idempotent && !self.journal.open() {
             return self.refuse(&to, CallRefusal::StoreDown);
         }
         let id = spec.id.clone();
-        self.accept(spec);
+        self.add_new_job(spec);
         self.answer_job_when_durable(now, to, &id);
     }
 
-    fn impossible(&self, spec: &JobSpec) -> Option<String> {
+    fn impossible_reason(&self, spec: &JobSpec) -> Option<String> {
         if spec.kind == JobKind::Service {
             return Some("services are started by intents".to_owned());
         }
@@ -84,16 +84,16 @@
             let resource = spec.need.exceeds(&largest).unwrap_or("room on one worker");
             return Some(format!("a task needs more {resource} than any worker has: {largest:?}"));
         }
-        let whole = spec.need.times(spec.count);
+        let total_need = spec.need.times(spec.count);
         match spec.kind {
-            JobKind::AllAtOnce if !whole.fits(&pool.total()) => {
-                Some(format!("all tasks together need {whole:?} of {:?}", pool.total()))
+            JobKind::AllAtOnce if !total_need.fits(&pool.total()) => {
+                Some(format!("all tasks together need {total_need:?} of {:?}", pool.total()))
             }
             _ => None,
         }
     }
 
-    fn accept(&mut self, spec: JobSpec) {
+    fn add_new_job(&mut self, spec: JobSpec) {
         let record = JobRecord::new(spec);
         if let Some(leader) = &mut self.leader {
             leader.scheduler.add_job(&record, false);
@@ -105,7 +105,7 @@
         self.reply(to, ClientAnswer::Refused(refusal));
     }
 
-    /// Answers with a job as soon as its last change is durable; at once while the store is down.
+    /// Answers with a job when its last change is durable, or at once while the store is down.
     fn answer_job_when_durable(&mut self, now: Instant, to: ReplyTo, id: &JobId) {
         let Some(mut view) = self.view_job(id) else {
             return self.refuse(&to, CallRefusal::NotFound(format!("no job {id}")));
@@ -116,7 +116,7 @@
                 view.durable = true;
                 let ticket = self.journal.last_ticket();
                 let answer = ClientAnswer::Job(Box::new(view));
-                self.when_durable(ticket, CommitWaiter::Answer(to, answer));
+                self.run_when_durable(ticket, CommitWaiter::Answer(to, answer));
             }
             false => self.reply(&to, ClientAnswer::Job(Box::new(view))),
         }
@@ -126,7 +126,7 @@
         self.answer_job_when_durable(now, to, id);
     }
 
-    /// A job as callers see it.
+    /// View of a job for callers.
     pub(crate) fn view_job(&self, id: &JobId) -> Option<JobView> {
         let record = self.job(id)?.clone();
         let leader = self.leader.as_ref()?;
@@ -140,13 +140,13 @@
         Some(JobView { record, domain, durable, running: running.collect(), waits })
     }
 
-    /// Cancels a job; the answer goes out when that is durable.
+    /// Cancels a job; the answer is sent when the cancellation is durable.
     pub(crate) fn cancel_job(&mut self, now: Instant, to: ReplyTo, id: &JobId) {
         if self.job(id).is_none() {
             return self.refuse(&to, CallRefusal::NotFound(format!("no job {id}")));
         }
         self.cancel(id);
-        self.place(now);
+        self.run_placement(now);
         self.answer_job_when_durable(now, to, id);
     }
 
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Brings the jobs that intents ask for in line with the configuration.
+    /// Adds, resizes and cancels jobs made from intents to match the configuration.
     pub(crate) fn reconcile(&mut self, now: Instant) {
         if !self.leader.as_ref().is_some_and(|leader| leader.active) || !self.config.learned() {
             return;
@@ -168,10 +168,10 @@
         for intent in config.intents.values() {
             let domain = &self.identity.domain;
             let count = assigned_count(&intent.spec, domain, &self.domains);
-            let id = intent_job(&intent.spec.service(), intent.changed, domain);
+            let id = intent_job_id(&intent.spec.service(), intent.changed, domain);
             if count > 0 {
                 wanted.insert(id.clone());
-                self.want_job(id, intent, count, unix);
+                self.ensure_job(id, intent, count, unix);
             }
         }
         let unwanted: Vec<JobId> = self
@@ -184,29 +184,30 @@
                 _ => None,
             })
             .filter(|id| id.contains(INTENT_MARK) && !wanted.contains(id))
-            .filter(|id| !self.taken_over(id, &config))
+            .filter(|id| !self.is_taken_over(id, &config))
             .filter(|id| self.job(id).is_some_and(|job| job.spec.revision <= config.revision))
             .collect();
         for id in unwanted {
-            info!("{id} is not asked for any more");
+            info!("{id} is no longer in the configuration: cancelling it");
             self.cancel(&id);
         }
     }
 
-    /// Tells whether a job was taken over from another failure domain and is still asked for.
-    fn taken_over(&self, id: &JobId, config: &ConfigRevision) -> bool {
-        let named = id.rsplit_once('@').map(|(_, domain)| domain);
-        let other = self.domains.iter().find(|domain| Some(&***domain) == named);
+    /// Tells whether a job was taken over from another failure domain and is still in the
+    /// configuration.
+    fn is_taken_over(&self, id: &JobId, config: &ConfigRevision) -> bool {
+        let domain_name = id.rsplit_once('@').map(|(_, domain)| domain);
+        let other = self.domains.iter().find(|domain| Some(&***domain) == domain_name);
         let Some(other) = other.filter(|domain| **domain != self.identity.domain) else {
             return false;
         };
         config.intents.values().any(|intent| {
             let count = assigned_count(&intent.spec, other, &self.domains);
-            count > 0 && intent_job(&intent.spec.service(), intent.changed, other) == *id
+            count > 0 && intent_job_id(&intent.spec.service(), intent.changed, other) == *id
         })
     }
 
-    fn want_job(
+    fn ensure_job(
         &mut self,
         id: JobId,
         intent: &crate::config::AcceptedIntent,
@@ -216,7 +217,7 @@
         let mut spec = JobSpec::new(id.clone(), &intent.spec, intent.changed, unix);
         spec.count = count;
         match self.job(&id).map(|known| (known.spec.count, known.is_over())) {
-            None => self.accept(spec),
+            None => self.add_new_job(spec),
             Some((known, _)) if known == count => {}
             Some((_, true)) if spec.kind != JobKind::Service => {}
             Some(_) => {
@@ -231,8 +232,8 @@
         }
     }
 
-    /// Places what waits and carries out what the scheduler decided.
-    pub(crate) fn place(&mut self, now: Instant) {
+    /// Runs a placement pass and executes the resulting actions.
+    pub(crate) fn run_placement(&mut self, now: Instant) {
         let unix = self.clock.unix(now);
         let may_act = self.leadership.may_act(now);
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.active && may_act) else {
@@ -283,7 +284,7 @@
             record.started.insert(index);
         };
         if let Some(ticket) = self.journal.change_job(&job_name(&task.0), change) {
-            self.when_durable(ticket, CommitWaiter::Start { worker, task, attempt, command });
+            self.run_when_durable(ticket, CommitWaiter::Start { worker, task, attempt, command });
         }
     }
 
@@ -295,7 +296,7 @@
         attempt: Attempt,
         reason: StopReason,
     ) {
-        let never_sent = self.fleet.withdraw(worker, task) || self.withdraw_waiter(task);
+        let never_sent = self.fleet.withdraw(worker, task) || self.withdraw_waiting_start(task);
         if !never_sent {
             let task = task.clone();
             return self.fleet.command(worker, WorkerCommand::Stop { task, attempt, reason });
@@ -305,12 +306,12 @@
             let usage = TaskUsage::default();
             leader.scheduler.task_ended(now, worker, task, &outcome, &usage);
         }
-        self.place(now);
+        self.run_placement(now);
     }
 
-    /// Takes back all starts whose mark is not durable, and the marks with them: under a new token the
-    /// ledger is read again, and a mark found there is then surely an earlier leader's.
-    pub(crate) fn withdraw_starts(&mut self, now: Instant) {
+    /// Withdraws all starts whose record is not durable, and removes these records. Under a new token
+    /// the ledger is read again; a start recorded there is then known to be of an earlier leader.
+    pub(crate) fn withdraw_waiting_starts(&mut self, now: Instant) {
         let Some(leader) = &mut self.leader else {
             return;
         };
@@ -332,8 +333,8 @@
         }
     }
 
-    /// Takes back a start that waits for its mark to be durable.
-    fn withdraw_waiter(&mut self, wanted: &TaskId) -> bool {
+    /// Withdraws a start that waits until its record is durable; tells whether there was one.
+    fn withdraw_waiting_start(&mut self, wanted: &TaskId) -> bool {
         let Some(leader) = &mut self.leader else {
             return false;
         };
@@ -358,16 +359,21 @@
                 record.over_at = Some(unix);
             }
         });
-        self.drop_endpoint(task);
+        self.remove_endpoint(task);
     }
 
-    /// A worker was claimed: its tasks are adopted, ended or stopped.
-    pub(crate) fn worker_claimed(&mut self, now: Instant, spec: WorkerSpec, tasks: &[TaskReport]) {
+    /// Handles a claimed worker: its tasks are adopted, ended or stopped.
+    pub(crate) fn handle_worker_claimed(
+        &mut self,
+        now: Instant,
+        spec: WorkerSpec,
+        tasks: &[TaskReport],
+    ) {
         let worker = spec.id.clone();
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let there = |task: &TaskId, attempt: Attempt| {
+        let is_reported = |task: &TaskId, attempt: Attempt| {
             let mut own = tasks.iter().filter(|report| report.task == *task);
             own.any(|report| report.attempt >= attempt || report.outcome.is_none())
         };
@@ -375,7 +381,7 @@
             .scheduler
             .live()
             .iter()
-            .filter(|(task, live)| *live.worker() == worker && !there(task, live.attempt()))
+            .filter(|(task, live)| *live.worker() == worker && !is_reported(task, live.attempt()))
             .filter(|(task, _)| !self.fleet.start_waits(&worker, task))
             .filter(|(task, _)| !start_not_durable(leader, task))
             .map(|(task, _)| task.clone())
@@ -384,22 +390,27 @@
         for task in missing {
             leader.scheduler.task_vanished(now, &worker, &task);
         }
-        self.worker_listed(now, &worker, tasks);
-        self.close_workers();
+        self.handle_task_list(now, &worker, tasks);
+        self.exclude_unavailable_workers();
     }
 
-    /// A worker lists its tasks.
-    pub(crate) fn worker_listed(&mut self, now: Instant, worker: &WorkerId, tasks: &[TaskReport]) {
+    /// Handles a worker's list of its tasks.
+    pub(crate) fn handle_task_list(
+        &mut self,
+        now: Instant,
+        worker: &WorkerId,
+        tasks: &[TaskReport],
+    ) {
         let mut strays = Vec::new();
         for report in tasks {
-            if self.task_reported(now, worker, report) {
+            if self.handle_task_report(now, worker, report) {
                 strays.push((report.task.clone(), report.need));
             }
         }
         if let Some(leader) = &mut self.leader {
             leader.scheduler.set_strays(worker, &strays);
         }
-        self.place(now);
+        self.run_placement(now);
         let ended = tasks.iter().filter(|report| report.outcome.is_some());
         for report in ended {
             self.forget_when_durable(worker, report);
@@ -410,31 +421,35 @@
         }
     }
 
-    /// Takes what a worker says of one task and tells whether it runs and is none of ours.
-    fn task_reported(&mut self, now: Instant, worker: &WorkerId, report: &TaskReport) -> bool {
+    /// Handles a worker's report on one task. Tells whether the task runs without belonging to a job
+    /// of this leader.
+    fn handle_task_report(&mut self, now: Instant, worker: &WorkerId, report: &TaskReport) -> bool {
         let Some(leader) = &mut self.leader else {
             return false;
         };
         let task = &report.task;
         let scheduler = &mut leader.scheduler;
         let live = scheduler.live().get(task);
-        let older = live.is_some_and(|live| live.attempt() > report.attempt);
-        let here = live.is_some_and(|live| live.worker() == worker);
+        let is_outdated = live.is_some_and(|live| live.attempt() > report.attempt);
+        let is_on_worker = live.is_some_and(|live| live.worker() == worker);
         match &report.outcome {
-            Some(_) if older => {}
+            Some(_) if is_outdated => {}
             Some(outcome) => {
-                let known = here || scheduler.adopt(now, worker, task, report.attempt, report.need);
+                let known =
+                    is_on_worker || scheduler.adopt(now, worker, task, report.attempt, report.need);
                 if known {
                     scheduler.task_ended(now, worker, task, outcome, &report.usage);
                 }
-                self.drop_endpoint(task);
+                self.remove_endpoint(task);
             }
-            None if here => {
+            None if is_on_worker => {
                 scheduler.task_running(now, task, report.attempt);
-                self.note_endpoint(report);
+                self.add_endpoint(report);
             }
-            None if !older && scheduler.adopt(now, worker, task, report.attempt, report.need) => {
-                self.note_endpoint(report);
+            None if !is_outdated
+                && scheduler.adopt(now, worker, task, report.attempt, report.need) =>
+            {
+                self.add_endpoint(report);
             }
             None => {
                 self.stop_stray(worker, report);
@@ -444,10 +459,11 @@
         false
     }
 
-    /// A worker runs what it should not; only a leader that knows all jobs may say so.
+    /// Stops a task that a worker should not run. Only a leader that has loaded all jobs can decide
+    /// this.
     fn stop_stray(&mut self, worker: &WorkerId, report: &TaskReport) {
         if self.journal.open() {
-            info!("{:?} on {worker} belongs to nothing: stopping it", report.task);
+            info!("{:?} on {worker} belongs to no job: stopping it", report.task);
             let (task, attempt) = (report.task.clone(), report.attempt);
             let reason = StopReason::Stray;
             self.fleet.command(worker, WorkerCommand::Stop { task, attempt, reason });
@@ -474,7 +490,7 @@
         }
     }
 
-    fn note_endpoint(&mut self, report: &TaskReport) {
+    fn add_endpoint(&mut self, report: &TaskReport) {
         let Some(address) = report.endpoint.as_ref().and_then(|text| text.parse().ok()) else {
             return;
         };
@@ -489,20 +505,21 @@
         let spec = UpstreamSpec { id, service, address, slots: SERVICE_TASK_SLOTS };
         let before = leader.endpoints.insert(report.task.clone(), spec.clone());
         if before != Some(spec) {
-            self.restore_upstreams();
+            self.update_upstreams();
         }
     }
 
-    pub(crate) fn drop_endpoint(&mut self, task: &TaskId) {
+    pub(crate) fn remove_endpoint(&mut self, task: &TaskId) {
         let Some(leader) = &mut self.leader else {
             return;
         };
         if leader.endpoints.remove(task).is_some() {
-            self.restore_upstreams();
+            self.update_upstreams();
         }
     }
 
-    /// Once every worker was heard from, what was not found does not run.
+    /// Marks the leader as settled when the tasks of all workers are known. Tasks that no worker
+    /// reported are not running.
     pub(crate) fn settle(&mut self, now: Instant) {
         let resolved = self.fleet.resolved();
         let Some(leader) = &mut self.leader else {
@@ -512,13 +529,13 @@
             info!("{} workers are claimed", self.fleet.claimed());
             leader.settled = true;
             leader.scheduler.clear_suspects();
-            self.apply_parts();
-            self.place(now);
+            self.apply_quota_parts();
+            self.run_placement(now);
         }
         self.flush_ready_waiters();
     }
 
-    /// Carries out what waited for nothing but the journal to be idle.
+    /// Runs the waiters that were registered while the journal was idle and need no commit.
     fn flush_ready_waiters(&mut self) {
         let ready = self.leader.as_mut().and_then(|leader| leader.waiters.remove(&0));
         for waiter in ready.into_iter().flatten() {
@@ -531,8 +548,8 @@
         }
     }
 
-    /// Drops what is over and was kept long enough.
-    pub(crate) fn collect_records(&mut self, now: Instant) {
+    /// Removes the records of ended jobs and of keys whose retention has passed.
+    pub(crate) fn remove_expired_records(&mut self, now: Instant) {
         if self.leader.is_none() || !self.journal.open() {
             return;
         }
@@ -541,7 +558,7 @@
         let wanted: BTreeSet<JobId> = config
             .intents
             .values()
-            .map(|i| intent_job(&i.spec.service(), i.changed, &self.identity.domain))
+            .map(|i| intent_job_id(&i.spec.service(), i.changed, &self.identity.domain))
             .collect();
         let gone: Vec<String> = self
             .journal
@@ -549,10 +566,10 @@
             .filter(|record| match record {
                 LedgerRecord::Job(job) => {
                     let since = job.over_at.unwrap_or(job.spec.accepted);
-                    let old = since + KEEP_ENDED_MS < unix;
+                    let old = since + ENDED_JOB_RETENTION_MS < unix;
                     job.is_over() && old && !wanted.contains(&job.spec.id)
                 }
-                LedgerRecord::Key(key) => key.accepted + KEEP_KEY_MS < unix,
+                LedgerRecord::Key(key) => key.accepted + KEY_RETENTION_MS < unix,
                 LedgerRecord::Taken { .. } | LedgerRecord::Gone(_) => false,
             })
             .map(LedgerRecord::name)
@@ -562,7 +579,7 @@
         }
     }
 
-    /// Jobs that another failure domain took over are none of ours.
+    /// Removes jobs from the scheduler that another failure domain has taken over.
     pub(crate) fn drop_moved_jobs(&mut self) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -577,14 +594,14 @@
     }
 }
 
-/// Tells whether a start waits until its mark is durable.
+/// Tells whether a start waits until its record is durable.
 fn start_not_durable(leader: &LeaderState, wanted: &TaskId) -> bool {
     let mut waiters = leader.waiters.values().flatten();
     waiters.any(|waiter| matches!(waiter, CommitWaiter::Start { task, .. } if task == wanted))
 }
 
-/// Name of the job that an intent makes in a failure domain.
-fn intent_job(service: &str, changed: u64, domain: &str) -> JobId {
+/// Name of the job that is made from an intent in a failure domain.
+fn intent_job_id(service: &str, changed: u64, domain: &str) -> JobId {
     let (workspace, name) = service.split_once('/').unwrap_or(("", service));
     format!("{workspace}/{INTENT_MARK}{name}.r{changed}@{domain}").into()
 }
--- a/src/domain/keys.rs
+++ b/src/domain/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of requests that must run at most once.
+//! Idempotency keys: requests that must run at most once.
 
 use tokio::time::Instant;
 
@@ -6,11 +6,12 @@
 use crate::ledger::{KeyRecord, KeyState, LedgerRecord, key_name};
 use crate::message::{CallRefusal, ClientAnswer, KeyAnswer};
 
-/// Longest answer that is kept to be given again, in bytes.
-const MAX_KEPT_ANSWER: usize = 4 * 1024;
+/// Maximum size of a stored answer body, in bytes; longer answers are not replayed.
+const MAX_STORED_ANSWER: usize = 4 * 1024;
 
 impl DomainController {
-    /// Makes a key durable before its request is sent, or tells what became of the first request.
+    /// Stores a key durably before its request is sent, or answers with the outcome of the first
+    /// request with this key.
     pub(crate) fn reserve_key(
         &mut self,
         now: Instant,
@@ -43,14 +44,14 @@
         let record = KeyRecord { id, digest, holder, state: KeyState::Started, accepted };
         let ticket = self.journal.put(LedgerRecord::Key(record));
         let answer = ClientAnswer::Key(KeyAnswer::Fresh);
-        self.when_durable(ticket, CommitWaiter::Answer(to, answer));
+        self.run_when_durable(ticket, CommitWaiter::Answer(to, answer));
     }
 
-    /// Notes what became of a request. Only whoever reserved the key may tell, so that a late word on
-    /// one reservation cannot free the next.
+    /// Records the outcome of a request. It is ignored unless it comes from the holder of the
+    /// reservation, so that a late outcome of one reservation cannot release the next.
     pub(crate) fn complete_key(&mut self, to: &ReplyTo, id: &str, holder: &str, state: KeyState) {
         let state = match state {
-            KeyState::Answered(answer) if answer.body.len() > MAX_KEPT_ANSWER => KeyState::Ended,
+            KeyState::Answered(answer) if answer.body.len() > MAX_STORED_ANSWER => KeyState::Ended,
             state => state,
         };
         if let Some(LedgerRecord::Key(record)) = self.journal.get(&key_name(id))
--- a/src/domain/moves.rs
+++ b/src/domain/moves.rs
@@ -1,10 +1,10 @@
-//! Tasks that may move when their failure domain is cut off.
+//! Movable tasks: tasks that may move when their failure domain is cut off.
 //!
-//! A leader may start and renew such tasks only while it is covered: its lease in the store holds,
-//! or the leaders of all other failure domains have just promised to hold off. A leader of another
-//! domain takes them over only after it has stopped to promise, has taken the silent domain's lease
-//! in the store, and has waited until every cover and every task's lease must have lapsed. The
-//! change of place is a commit in the silent domain's own ledger.
+//! A leader may start and renew such tasks only while its lease in the store is valid, or while it
+//! has a hold from the leaders of all other failure domains: a promise, limited in time, not to take
+//! over its tasks. A leader of another domain takes them over only after it has stopped granting
+//! holds, has acquired the silent domain's lease in the store, and has waited until every hold and
+//! every task lease must have expired. The move is a commit in the silent domain's own ledger.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,32 +23,32 @@
 use crate::settings::TimingSettings;
 use crate::store::StoreOutcome;
 
-/// Silence of a failure domain before its tasks are taken over.
+/// Time without a heartbeat of a failure domain after which its movable tasks are taken over.
 const SILENCE_LIMIT: Duration = Duration::from_secs(5);
-/// Added to every bound on another machine's clock.
-const MARGIN: Duration = Duration::from_millis(1_000);
-/// Interval between questions for a hold.
-const ASK_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Pause before a silent domain is looked at again.
-const LOOK_AGAIN: Duration = Duration::from_secs(30);
-/// Interval between questions what became of a move that an earlier leader began.
-const RESOLVE_INTERVAL: Duration = Duration::from_secs(2);
-/// First number of calls that ask what became of a move; clients' calls have lower ones.
-const RESOLVE_CALLS: CallId = 1 << 62;
-/// Calls of the lease have even numbers, calls of the ledger odd ones.
+/// Margin added to time limits that depend on another machine's clock.
+const CLOCK_MARGIN: Duration = Duration::from_millis(1_000);
+/// Interval between requests for a hold.
+const HOLD_REQUEST_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Pause after a takeover before the next one of the same domain.
+const TAKEOVER_RETRY_PAUSE: Duration = Duration::from_secs(30);
+/// Interval between queries for the outcome of moves that an earlier leader began.
+const MOVE_QUERY_INTERVAL: Duration = Duration::from_secs(2);
+/// Ids of queries for the outcome of a move are above this; ids of clients' calls are below.
+const MOVE_QUERY_ID_BASE: CallId = 1 << 62;
+/// Store calls for the lease have even ids, calls for the ledger odd ones.
 const CALL_KINDS: u64 = 2;
 
 #[derive(Debug)]
 enum TakeoverStage {
-    /// Waiting for the silent domain's lease.
+    /// Acquiring the silent domain's lease.
     Lease,
-    /// Waiting until every cover and lease of a task must have lapsed.
-    Lapse(Instant),
+    /// Waiting until every hold and task lease must have expired.
+    AwaitExpiry(Instant),
     /// Reading the silent domain's ledger.
     Reading,
-    /// Making the intention durable in the own ledger.
-    Intending(u64, Vec<JobRecord>),
-    /// Making the move durable in the silent domain's ledger.
+    /// Recording the planned moves in this domain's ledger.
+    RecordingPlan(u64, Vec<JobRecord>),
+    /// Committing the moves in the silent domain's ledger.
     Moving(u64, Vec<JobRecord>),
 }
 
@@ -61,26 +61,26 @@
     started: Instant,
 }
 
-/// Cover for the own tasks that may move, and takeovers of others'.
+/// Holds for this domain's movable tasks, and takeovers of those of other domains.
 #[derive(Debug)]
 pub(crate) struct MoveController {
     entry: EntryId,
     boot: u64,
     timing: TimingSettings,
     others: Vec<DomainId>,
-    /// Until when each other failure domain holds off.
-    held: BTreeMap<DomainId, Instant>,
-    /// Questions by number: whom, when.
-    asked: BTreeMap<u64, (DomainId, EntryId, Instant)>,
-    next_ask: Instant,
+    /// Expiry of the hold from each other failure domain.
+    holds: BTreeMap<DomainId, Instant>,
+    /// Pending requests for a hold by sequence number: domain, its leader and time of the request.
+    hold_requests: BTreeMap<u64, (DomainId, EntryId, Instant)>,
+    next_hold_request: Instant,
     seq: u64,
     leading_since: Instant,
     takeover: Option<TakeoverState>,
-    look_again: BTreeMap<DomainId, Instant>,
-    /// Questions what became of a move, by number.
-    resolving: BTreeMap<CallId, JobId>,
-    next_resolve: Instant,
-    next_question: CallId,
+    takeover_retry_at: BTreeMap<DomainId, Instant>,
+    /// Pending queries for the outcome of a move, by call id.
+    move_queries: BTreeMap<CallId, JobId>,
+    next_move_query: Instant,
+    last_query_id: CallId,
 }
 
 impl MoveController {
@@ -91,64 +91,64 @@
             boot: identity.boot,
             timing: identity.timing,
             others: others.collect(),
-            held: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            next_ask: now,
+            holds: BTreeMap::new(),
+            hold_requests: BTreeMap::new(),
+            next_hold_request: now,
             seq: 0,
             leading_since: now,
             takeover: None,
-            look_again: BTreeMap::new(),
-            resolving: BTreeMap::new(),
-            next_resolve: now,
-            next_question: RESOLVE_CALLS,
+            takeover_retry_at: BTreeMap::new(),
+            move_queries: BTreeMap::new(),
+            next_move_query: now,
+            last_query_id: MOVE_QUERY_ID_BASE,
         }
     }
 
-    pub(crate) fn lead(&mut self, now: Instant) {
+    pub(crate) fn start_term(&mut self, now: Instant) {
         self.leading_since = now;
         self.takeover = None;
-        self.held.clear();
-        self.asked.clear();
+        self.holds.clear();
+        self.hold_requests.clear();
     }
 
-    /// Until when tasks that may move are covered; `None` when they are not.
-    pub(crate) fn cover(&self, now: Instant, deadline: Option<Instant>) -> Option<Instant> {
-        let promised = match self.others.is_empty() {
+    /// Time until which movable tasks may be started and renewed; `None` when they may not.
+    pub(crate) fn movable_until(&self, now: Instant, deadline: Option<Instant>) -> Option<Instant> {
+        let holds_until = match self.others.is_empty() {
             true => Some(now + self.timing.hold),
             false => {
-                let all = self.others.iter().map(|domain| self.held.get(domain).copied());
+                let all = self.others.iter().map(|domain| self.holds.get(domain).copied());
                 all.collect::<Option<Vec<_>>>().and_then(|all| all.into_iter().min())
             }
         };
-        deadline.into_iter().chain(promised).filter(|until| *until > now).max()
+        deadline.into_iter().chain(holds_until).filter(|until| *until > now).max()
     }
 
-    /// A leader promised to hold off; its time runs from when it was asked.
-    pub(crate) fn held(&mut self, peer: &EntryId, seq: u64) {
-        let Some((domain, asked, at)) = self.asked.remove(&seq) else {
+    /// Handles a granted hold. It is valid from the time of the request.
+    pub(crate) fn handle_hold_granted(&mut self, peer: &EntryId, seq: u64) {
+        let Some((domain, leader, at)) = self.hold_requests.remove(&seq) else {
             return;
         };
-        if asked == *peer {
-            self.held.insert(domain, at + self.timing.hold);
+        if leader == *peer {
+            self.holds.insert(domain, at + self.timing.hold);
         }
     }
 
-    /// Failure domains that hold off now, for the state dump.
-    pub(crate) fn holding(&self, now: Instant) -> Vec<&DomainId> {
-        self.held.iter().filter(|(_, until)| **until > now).map(|(domain, _)| domain).collect()
+    /// Failure domains from which a hold is valid, for the state dump.
+    pub(crate) fn valid_holds(&self, now: Instant) -> Vec<&DomainId> {
+        self.holds.iter().filter(|(_, until)| **until > now).map(|(domain, _)| domain).collect()
     }
 
-    /// Tells whether a call was a question what became of a move.
-    pub(crate) fn asked_about(&self, id: CallId) -> bool {
-        self.resolving.contains_key(&id)
+    /// Tells whether a call is a query for the outcome of a move.
+    pub(crate) fn is_move_query(&self, id: CallId) -> bool {
+        self.move_queries.contains_key(&id)
     }
 
-    fn taking_over(&self, domain: &DomainId) -> bool {
+    fn is_taking_over(&self, domain: &DomainId) -> bool {
         self.takeover.as_ref().is_some_and(|takeover| takeover.domain == *domain)
     }
 
-    fn begin(&mut self, now: Instant, domain: DomainId) {
-        info!("{domain} is silent: trying for its tasks that may move");
+    fn begin_takeover(&mut self, now: Instant, domain: DomainId) {
+        info!("{domain} is silent: trying to take over its movable tasks");
         let (entry, timing) = (self.entry.clone(), self.timing);
         let boot = self.boot;
         self.takeover = Some(TakeoverState {
@@ -163,9 +163,9 @@
 }
 
 impl DomainController {
-    /// Another domain's leader asks us to hold off. Only a leader that has read its own ledger knows
-    /// whether jobs of that domain were taken over already.
-    pub(crate) fn answer_hold(
+    /// Handles another domain's request for a hold. Only a leader that has read its own ledger can
+    /// grant one, as the ledger shows whether jobs of that domain were already taken over.
+    pub(crate) fn handle_hold_request(
         &mut self,
         now: Instant,
         peer: &EntryId,
@@ -179,9 +179,9 @@
             Some(LedgerRecord::Taken { epoch, .. }) => *epoch,
             _ => 0,
         };
-        let free = epoch >= taken && !self.moves.taking_over(domain);
+        let free = epoch >= taken && !self.moves.is_taking_over(domain);
         if leads && known && free && self.leadership.may_act(now) {
-            self.tell(peer, PeerMessage::GrantHold { seq });
+            self.send_peer(peer, PeerMessage::GrantHold { seq });
         }
     }
 
@@ -194,42 +194,43 @@
             return;
         }
         let deadline = self.leadership.deadline();
-        self.ask_about_moves(now);
+        self.query_moves(now);
         match deadline {
             Some(deadline) if now < deadline => self.takeover_tick(now),
             _ => {
                 self.moves.takeover = None;
-                self.ask_holds(now);
+                self.request_holds(now);
             }
         }
     }
 
-    /// An earlier leader began moves and did not finish: their old place knows what became of them.
-    fn ask_about_moves(&mut self, now: Instant) {
-        if now < self.moves.next_resolve || self.moves.takeover.is_some() {
+    /// Queries the outcome of moves that an earlier leader began and did not finish. The ledger of the
+    /// domain that the job came from decides.
+    fn query_moves(&mut self, now: Instant) {
+        if now < self.moves.next_move_query || self.moves.takeover.is_some() {
             return;
         }
-        self.moves.next_resolve = now + RESOLVE_INTERVAL;
-        self.moves.resolving.clear();
-        let begun = self.journal.records().filter_map(|record| match record {
+        self.moves.next_move_query = now + MOVE_QUERY_INTERVAL;
+        self.moves.move_queries.clear();
+        let unfinished = self.journal.records().filter_map(|record| match record {
             LedgerRecord::Job(job) => Some((job.spec.id.clone(), job.moving_from.clone()?)),
             _ => None,
         });
-        for (id, from) in begun.collect::<Vec<_>>() {
+        for (id, from) in unfinished.collect::<Vec<_>>() {
             let Some(peer) = self.peers.leader_of(now, &from) else {
                 continue;
             };
-            self.moves.next_question += 1;
-            let question = self.moves.next_question;
-            self.moves.resolving.insert(question, id.clone());
+            self.moves.last_query_id += 1;
+            let query_id = self.moves.last_query_id;
+            self.moves.move_queries.insert(query_id, id.clone());
             let call = crate::message::ClientCall::Job(id);
-            self.tell(&peer, PeerMessage::Call(question, call));
+            self.send_peer(&peer, PeerMessage::Call(query_id, call));
         }
     }
 
-    /// The old place of a job told whether it was moved.
-    pub(crate) fn resolve_move(&mut self, question: CallId, answer: &ClientAnswer) {
-        let Some(id) = self.moves.resolving.remove(&question) else {
+    /// Handles the answer to a query: the domain that the job came from states whether it was moved.
+    pub(crate) fn handle_move_answer(&mut self, query_id: CallId, answer: &ClientAnswer) {
+        let Some(id) = self.moves.move_queries.remove(&query_id) else {
             return;
         };
         let waiting = self.job(&id).is_some_and(|job| job.moving_from.is_some());
@@ -238,30 +239,30 @@
         };
         match &view.record.moved {
             _ if !waiting || self.moves.takeover.is_some() => {}
-            Some(to) if *to == self.identity.domain => self.take_job(&id),
+            Some(to) if *to == self.identity.domain => self.start_moved_job(&id),
             _ => {
                 self.journal.put(LedgerRecord::Gone(job_name(&id)));
             }
         }
     }
 
-    /// The own lease does not hold: the other failure domains are asked to hold off.
-    fn ask_holds(&mut self, now: Instant) {
-        if now < self.moves.next_ask {
+    /// Requests holds from the other failure domains, while this leader's lease is not valid.
+    fn request_holds(&mut self, now: Instant) {
+        if now < self.moves.next_hold_request {
             return;
         }
-        self.moves.next_ask = now + ASK_INTERVAL;
+        self.moves.next_hold_request = now + HOLD_REQUEST_INTERVAL;
         let epoch = self.leadership.token().map_or(0, |token| token.epoch);
-        self.moves.asked.retain(|_, (_, _, at)| now < *at + ASK_INTERVAL * 4);
+        self.moves.hold_requests.retain(|_, (_, _, at)| now < *at + HOLD_REQUEST_INTERVAL * 4);
         for domain in self.moves.others.clone() {
             let Some(peer) = self.peers.leader_of(now, &domain) else {
                 continue;
             };
             self.moves.seq += 1;
             let seq = self.moves.seq;
-            self.moves.asked.insert(seq, (domain, peer.clone(), now));
+            self.moves.hold_requests.insert(seq, (domain, peer.clone(), now));
             let own = self.identity.domain.clone();
-            self.tell(&peer, PeerMessage::AskHold { domain: own, epoch, seq });
+            self.send_peer(&peer, PeerMessage::AskHold { domain: own, epoch, seq });
         }
     }
 
@@ -269,7 +270,7 @@
         if self.moves.takeover.is_none()
             && let Some(domain) = self.silent_domain(now)
         {
-            self.moves.begin(now, domain);
+            self.moves.begin_takeover(now, domain);
         }
         let Some(takeover) = &mut self.moves.takeover else {
             return;
@@ -281,15 +282,17 @@
         self.takeover_advance(now);
     }
 
-    /// A failure domain whose leader was not heard from for long, and that may have such tasks.
+    /// A failure domain whose leader has been silent for [`SILENCE_LIMIT`], if there are intents with
+    /// movable tasks.
     fn silent_domain(&mut self, now: Instant) -> Option<DomainId> {
         let movable = self.config.current().intents.values();
-        let any = movable.into_iter().any(|intent| intent.spec.cut_off == CutOffRule::Move);
+        let any_movable = movable.into_iter().any(|intent| intent.spec.cut_off == CutOffRule::Move);
         let since = self.moves.leading_since;
         let silent = self.moves.others.iter().find(|domain| {
-            let heard = self.peers.leader_heard(domain).unwrap_or(since).max(since);
-            let again = self.moves.look_again.get(*domain).is_none_or(|at| now >= *at);
-            any && again && now >= heard + SILENCE_LIMIT
+            let last_heartbeat =
+                self.peers.leader_last_heartbeat(domain).unwrap_or(since).max(since);
+            let retry_due = self.moves.takeover_retry_at.get(*domain).is_none_or(|at| now >= *at);
+            any_movable && retry_due && now >= last_heartbeat + SILENCE_LIMIT
         });
         silent.cloned()
     }
@@ -298,13 +301,14 @@
         for action in actions {
             match action {
                 LeadershipAction::Call(id, request) => {
-                    self.store(StoreOwner::Moves, id * CALL_KINDS, request);
+                    self.call_store(StoreOwner::Moves, id * CALL_KINDS, request);
                 }
                 LeadershipAction::Lead(_) => {
                     let timing = self.identity.timing;
-                    let lapse = timing.hold + timing.command_validity + timing.task_lease + MARGIN;
+                    let expiry_delay =
+                        timing.hold + timing.command_validity + timing.task_lease + CLOCK_MARGIN;
                     if let Some(takeover) = &mut self.moves.takeover {
-                        takeover.stage = TakeoverStage::Lapse(now + lapse);
+                        takeover.stage = TakeoverStage::AwaitExpiry(now + expiry_delay);
                     }
                 }
                 LeadershipAction::Follow => self.end_takeover(now),
@@ -316,10 +320,10 @@
         for output in outputs {
             match output {
                 JournalOutput::Call(id, request) => {
-                    self.store(StoreOwner::Moves, id * CALL_KINDS + 1, request);
+                    self.call_store(StoreOwner::Moves, id * CALL_KINDS + 1, request);
                 }
-                JournalOutput::Recovered(records) => self.intend_moves(now, records),
-                JournalOutput::Committed(ticket) => self.moved(now, ticket),
+                JournalOutput::Recovered(records) => self.record_planned_moves(now, records),
+                JournalOutput::Committed(ticket) => self.finish_moves(now, ticket),
                 JournalOutput::Fenced => self.end_takeover(now),
             }
         }
@@ -327,18 +331,20 @@
 
     fn end_takeover(&mut self, now: Instant) {
         if let Some(mut takeover) = self.moves.takeover.take() {
-            self.moves.look_again.insert(takeover.domain.clone(), now + LOOK_AGAIN);
+            self.moves
+                .takeover_retry_at
+                .insert(takeover.domain.clone(), now + TAKEOVER_RETRY_PAUSE);
             let actions = takeover.leadership.leave(now);
             for action in actions {
                 if let LeadershipAction::Call(id, request) = action {
-                    self.store(StoreOwner::Moves, id * CALL_KINDS, request);
+                    self.call_store(StoreOwner::Moves, id * CALL_KINDS, request);
                 }
             }
         }
     }
 
-    /// Brings back the outcome of a call.
-    pub(crate) fn moves_answer(&mut self, now: Instant, id: CallId, outcome: StoreOutcome) {
+    /// Handles the outcome of a call to the store.
+    pub(crate) fn handle_moves_outcome(&mut self, now: Instant, id: CallId, outcome: StoreOutcome) {
         let Some(takeover) = &mut self.moves.takeover else {
             return;
         };
@@ -355,36 +361,37 @@
     }
 
     fn takeover_advance(&mut self, now: Instant) {
-        let heard = self.moves.takeover.as_ref().and_then(|t| self.peers.domain_heard(&t.domain));
+        let last_heartbeat =
+            self.moves.takeover.as_ref().and_then(|t| self.peers.domain_last_heartbeat(&t.domain));
         let Some(takeover) = &mut self.moves.takeover else {
             return;
         };
         match takeover.stage {
-            TakeoverStage::Lease | TakeoverStage::Lapse(_)
-                if heard.is_some_and(|at| at > takeover.started) =>
+            TakeoverStage::Lease | TakeoverStage::AwaitExpiry(_)
+                if last_heartbeat.is_some_and(|at| at > takeover.started) =>
             {
                 self.end_takeover(now);
             }
-            TakeoverStage::Lapse(until) if now >= until => {
+            TakeoverStage::AwaitExpiry(until) if now >= until => {
                 if let Some(token) = takeover.leadership.token().cloned() {
                     takeover.stage = TakeoverStage::Reading;
                     let outputs = takeover.journal.recover(token);
                     self.takeover_ledger(now, outputs);
                 }
             }
-            TakeoverStage::Intending(ticket, _) if self.journal.written(ticket) => {
+            TakeoverStage::RecordingPlan(ticket, _) if self.journal.written(ticket) => {
                 self.commit_moves(now);
             }
             _ => {}
         }
     }
 
-    /// Notes in the own ledger what is about to be taken over; nothing is started yet.
-    fn intend_moves(&mut self, now: Instant, records: Vec<LedgerRecord>) {
+    /// Records the planned moves in this domain's ledger; nothing is started yet.
+    fn record_planned_moves(&mut self, now: Instant, records: Vec<LedgerRecord>) {
         let own = self.identity.domain.clone();
         let movable = |record: &JobRecord| {
-            let ours = record.moved.is_none() || record.moved.as_ref() == Some(&own);
-            record.spec.cut_off == CutOffRule::Move && ours
+            let is_eligible = record.moved.is_none() || record.moved.as_ref() == Some(&own);
+            record.spec.cut_off == CutOffRule::Move && is_eligible
         };
         let jobs = records.into_iter().filter_map(|record| match record {
             LedgerRecord::Job(job) => Some(job),
@@ -406,11 +413,10 @@
         let epoch = takeover.leadership.token().map_or(0, |token| token.epoch);
         let mut ticket = self.journal.put(LedgerRecord::Taken { domain: from.clone(), epoch });
         for job in &jobs {
-            let intended =
-                JobRecord { moved: None, moving_from: Some(from.clone()), ..job.clone() };
-            ticket = self.journal.put(LedgerRecord::Job(intended));
+            let planned = JobRecord { moved: None, moving_from: Some(from.clone()), ..job.clone() };
+            ticket = self.journal.put(LedgerRecord::Job(planned));
         }
-        takeover.stage = TakeoverStage::Intending(ticket, jobs);
+        takeover.stage = TakeoverStage::RecordingPlan(ticket, jobs);
     }
 
     fn commit_moves(&mut self, now: Instant) {
@@ -419,7 +425,7 @@
             return;
         };
         let stage = std::mem::replace(&mut takeover.stage, TakeoverStage::Reading);
-        let TakeoverStage::Intending(_, jobs) = stage else {
+        let TakeoverStage::RecordingPlan(_, jobs) = stage else {
             takeover.stage = stage;
             return;
         };
@@ -434,8 +440,8 @@
         self.takeover_ledger(now, outputs);
     }
 
-    /// The moves are durable: the tasks are ours and may start.
-    fn moved(&mut self, now: Instant, ticket: u64) {
+    /// Starts the moved jobs when the moves are durable.
+    fn finish_moves(&mut self, now: Instant, ticket: u64) {
         let Some(takeover) = &mut self.moves.takeover else {
             return;
         };
@@ -450,25 +456,26 @@
         warn!("{} jobs moved here from {}", jobs.len(), takeover.domain);
         metrics::counter!("kelplink_moved_jobs_total").increment(jobs.len() as u64);
         for job in jobs {
-            self.take_job(&job.spec.id);
+            self.start_moved_job(&job.spec.id);
         }
         self.end_takeover(now);
     }
 
-    /// Starts a job that was moved here.
-    fn take_job(&mut self, id: &JobId) {
+    /// Adds a job that was moved here to the scheduler.
+    fn start_moved_job(&mut self, id: &JobId) {
         self.journal.change_job(&job_name(id), |record| record.moving_from = None);
         let record = self.job(id).cloned();
         if let (Some(leader), Some(mut record)) = (&mut self.leader, record) {
-            end_what_may_have_run(&mut record);
+            end_started_tasks(&mut record);
             leader.scheduler.add_job(&record, false);
             self.journal.put(LedgerRecord::Job(record));
         }
     }
 }
 
-/// Tasks that are not idempotent and were started where they came from do not start again.
-fn end_what_may_have_run(record: &mut JobRecord) {
+/// Ends tasks that are not idempotent and were started in their previous domain, so that they do not
+/// start again.
+fn end_started_tasks(record: &mut JobRecord) {
     if record.spec.idempotent {
         return;
     }
--- a/src/domain/peers.rs
+++ b/src/domain/peers.rs
@@ -1,4 +1,4 @@
-//! What this entry knows of the others, and the messages between them.
+//! State of the other entries, and the messages between entries.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,48 +18,48 @@
 use crate::routing::DemandReport;
 use crate::token::FencingToken;
 
-/// Heartbeats of a peer that may be missed before it counts as silent.
+/// Number of heartbeat intervals without a heartbeat after which a peer counts as silent.
 const MISSED_HEARTBEATS: u32 = 6;
-/// Peers of other failure domains hear from us this many times less often.
-const FAR_FACTOR: u32 = 4;
-/// How long a call that was handed over may take.
-const CALL_TIME: Duration = Duration::from_secs(3);
-/// Calls that may be handed over at a time.
-const MAX_HANDED_OVER: usize = 4_096;
-/// Records in one message to a follower.
-const RECORD_GROUP: usize = 512;
+/// Heartbeats to peers of other failure domains are this many times less frequent.
+const REMOTE_INTERVAL_FACTOR: u32 = 4;
+/// Time limit for the answer to a forwarded call.
+const FORWARD_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum number of forwarded calls that wait for an answer.
+const MAX_FORWARDED_CALLS: usize = 4_096;
+/// Maximum number of records in one message to a follower.
+const MAX_RECORDS_PER_MESSAGE: usize = 512;
 
 #[derive(Debug)]
 struct PeerState {
     domain: DomainId,
-    heard: Option<Instant>,
-    hello: Option<PeerHeartbeat>,
-    /// Free slots by service as last told.
+    last_heartbeat: Option<Instant>,
+    heartbeat: Option<PeerHeartbeat>,
+    /// Free slots by service, as last reported.
     free_slots: BTreeMap<ServiceId, u32>,
-    next_hello: Instant,
+    next_heartbeat: Instant,
     incompatible: bool,
 }
 
 #[derive(Debug)]
-struct HandedCall {
+struct ForwardedCall {
     leader: EntryId,
     call: ClientCall,
-    until: Instant,
+    deadline: Instant,
 }
 
-/// What is known of all other entries.
+/// State of all other entries as this entry knows it.
 #[derive(Debug)]
 pub(crate) struct PeerTable {
     domain: DomainId,
     interval: Duration,
     peers: BTreeMap<EntryId, PeerState>,
-    calls: BTreeMap<CallId, HandedCall>,
-    /// Last group of records sent or received, and by which leader.
-    warm: Option<(FencingToken, u64)>,
+    calls: BTreeMap<CallId, ForwardedCall>,
+    /// Number of the last group of records received, and the token of its leader.
+    warm_position: Option<(FencingToken, u64)>,
     warm_seq: u64,
-    /// Free slots of the own router by service.
-    own_room: BTreeMap<ServiceId, u32>,
-    /// Entries with room as last told to the own router.
+    /// Free slots of the router of this entry, by service.
+    own_free_slots: BTreeMap<ServiceId, u32>,
+    /// Entries with free slots, as last reported to the router of this entry.
     peer_slots: BTreeMap<ServiceId, Vec<EntryId>>,
 }
 
@@ -68,10 +68,10 @@
         let peers = identity.peers.iter().map(|(entry, domain)| {
             let state = PeerState {
                 domain: domain.clone(),
-                heard: None,
-                hello: None,
+                last_heartbeat: None,
+                heartbeat: None,
                 free_slots: BTreeMap::new(),
-                next_hello: now,
+                next_heartbeat: now,
                 incompatible: false,
             };
             (entry.clone(), state)
@@ -81,71 +81,74 @@
             interval: identity.timing.peer_interval,
             peers: peers.collect(),
             calls: BTreeMap::new(),
-            warm: None,
+            warm_position: None,
             warm_seq: 0,
-            own_room: BTreeMap::new(),
+            own_free_slots: BTreeMap::new(),
             peer_slots: BTreeMap::new(),
         }
     }
 
-    /// Notes the free slots of the own router.
-    pub(crate) fn set_own_room(&mut self, free: BTreeMap<ServiceId, u32>) {
-        self.own_room = free;
+    /// Sets the free slots of the router of this entry.
+    pub(crate) fn set_own_free_slots(&mut self, free: BTreeMap<ServiceId, u32>) {
+        self.own_free_slots = free;
     }
 
-    /// The next heartbeats go out at once.
-    pub(crate) fn hurry(&mut self, now: Instant) {
+    /// Makes the next heartbeats to all peers due at once.
+    pub(crate) fn make_heartbeats_due(&mut self, now: Instant) {
         for state in self.peers.values_mut() {
-            state.next_hello = now;
+            state.next_heartbeat = now;
         }
     }
 
-    fn fresh(&self, now: Instant, state: &PeerState) -> bool {
-        let patience = self.interval * MISSED_HEARTBEATS * self.factor(state);
-        state.heard.is_some_and(|at| now < at + patience)
+    fn is_recent(&self, now: Instant, state: &PeerState) -> bool {
+        let timeout = self.interval * MISSED_HEARTBEATS * self.interval_factor(state);
+        state.last_heartbeat.is_some_and(|at| now < at + timeout)
     }
 
-    fn far(&self, peer: &EntryId) -> bool {
+    fn is_remote(&self, peer: &EntryId) -> bool {
         self.peers.get(peer).is_some_and(|state| state.domain != self.domain)
     }
 
-    fn factor(&self, state: &PeerState) -> u32 {
+    fn interval_factor(&self, state: &PeerState) -> u32 {
         match state.domain == self.domain {
             true => 1,
-            false => FAR_FACTOR,
+            false => REMOTE_INTERVAL_FACTOR,
         }
     }
 
-    /// Peers whose heartbeat is due.
-    fn due(&mut self, now: Instant) -> Vec<EntryId> {
+    /// Peers whose heartbeat is due; schedules their next one.
+    fn take_due_heartbeats(&mut self, now: Instant) -> Vec<EntryId> {
         let interval = self.interval;
         let own = self.domain.clone();
-        let due = self.peers.iter_mut().filter(|(_, state)| now >= state.next_hello);
+        let due = self.peers.iter_mut().filter(|(_, state)| now >= state.next_heartbeat);
         due.map(|(entry, state)| {
-            let factor = if state.domain == own { 1 } else { FAR_FACTOR };
-            state.next_hello = now + interval * factor;
+            let interval_factor = if state.domain == own { 1 } else { REMOTE_INTERVAL_FACTOR };
+            state.next_heartbeat = now + interval * interval_factor;
             entry.clone()
         })
         .collect()
     }
 
-    /// The entry that leads a failure domain, by the highest token heard lately.
+    /// The leader of a failure domain: the entry with the highest token among recent heartbeats.
     pub(crate) fn leader_of(&self, now: Instant, domain: &DomainId) -> Option<EntryId> {
-        let near = self.peers.iter().filter(|(_, state)| state.domain == *domain);
-        let leading =
-            near.filter(|(_, state)| self.fresh(now, state)).filter_map(|(entry, state)| {
-                let news = state.hello.as_ref()?.leading.as_ref()?;
-                Some((news.token.clone(), entry.clone()))
-            });
+        let domain_peers = self.peers.iter().filter(|(_, state)| state.domain == *domain);
+        let leading = domain_peers.filter(|(_, state)| self.is_recent(now, state)).filter_map(
+            |(entry, state)| {
+                let leader_status = state.heartbeat.as_ref()?.leading.as_ref()?;
+                Some((leader_status.token.clone(), entry.clone()))
+            },
+        );
         leading.max().map(|(_, entry)| entry)
     }
 
-    /// What every failure domain heard from has.
+    /// Resources of each failure domain whose leader is not silent.
     pub(crate) fn cluster(&self, now: Instant, own: &Option<DomainSummary>) -> ClusterSummary {
         let mut cluster = ClusterSummary::new();
-        for state in self.peers.values().filter(|state| self.fresh(now, state)) {
-            if let Some(news) = state.hello.as_ref().and_then(|hello| hello.leading.as_ref()) {
-                cluster.insert(state.domain.clone(), news.summary);
+        for state in self.peers.values().filter(|state| self.is_recent(now, state)) {
+            if let Some(leader_status) =
+                state.heartbeat.as_ref().and_then(|heartbeat| heartbeat.leading.as_ref())
+            {
+                cluster.insert(state.domain.clone(), leader_status.summary);
             }
         }
         if let Some(summary) = own {
@@ -154,25 +157,25 @@
         cluster
     }
 
-    /// Remembers a call that was handed over. Gives a call that has to be given up for it.
-    pub(crate) fn expect_answer(
+    /// Records a forwarded call. Returns the call that is dropped for it when the limit is reached.
+    pub(crate) fn track_forwarded_call(
         &mut self,
         now: Instant,
         id: CallId,
         leader: EntryId,
         call: ClientCall,
     ) -> Option<CallId> {
-        let dropped = match self.calls.len() < MAX_HANDED_OVER {
+        let dropped = match self.calls.len() < MAX_FORWARDED_CALLS {
             true => None,
             false => self.calls.pop_first().map(|(id, _)| id),
         };
-        self.calls.insert(id, HandedCall { leader, call, until: now + CALL_TIME });
+        self.calls.insert(id, ForwardedCall { leader, call, deadline: now + FORWARD_TIMEOUT });
         dropped
     }
 
     fn overdue_calls(&mut self, now: Instant) -> Vec<(CallId, ClientCall)> {
-        let overdue = self.calls.extract_if(.., |_, handed| now >= handed.until);
-        overdue.map(|(id, handed)| (id, handed.call)).collect()
+        let overdue = self.calls.extract_if(.., |_, forwarded_call| now >= forwarded_call.deadline);
+        overdue.map(|(id, forwarded_call)| (id, forwarded_call.call)).collect()
     }
 
     /// Entries with free slots for a service, most first.
@@ -182,8 +185,8 @@
     ) -> BTreeMap<ServiceId, Vec<EntryId>> {
         let mut peer_slots: BTreeMap<ServiceId, Vec<(u32, EntryId)>> = BTreeMap::new();
         for (entry, state) in &self.peers {
-            let draining = state.hello.as_ref().is_some_and(|hello| hello.draining);
-            if !self.fresh(now, state) || draining {
+            let draining = state.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.draining);
+            if !self.is_recent(now, state) || draining {
                 continue;
             }
             for (service, free) in &state.free_slots {
@@ -200,61 +203,67 @@
     /// Status of every peer.
     pub(crate) fn statuses(&self, now: Instant) -> Vec<EntryStatus> {
         let status = |(entry, state): (&EntryId, &PeerState)| {
-            let hello = state.hello.as_ref().filter(|_| self.fresh(now, state));
-            let silent = state.heard.map_or(Duration::MAX, |at| now.saturating_duration_since(at));
+            let heartbeat = state.heartbeat.as_ref().filter(|_| self.is_recent(now, state));
+            let silent =
+                state.last_heartbeat.map_or(Duration::MAX, |at| now.saturating_duration_since(at));
             EntryStatus {
                 entry: entry.clone(),
                 domain: state.domain.clone(),
-                revision: hello.map(|hello| hello.revision),
+                revision: heartbeat.map(|heartbeat| heartbeat.revision),
                 silent_ms: u64::try_from(silent.as_millis()).unwrap_or(u64::MAX),
-                leads: hello.is_some_and(|hello| hello.leading.is_some()),
-                draining: hello.is_some_and(|hello| hello.draining),
+                leads: heartbeat.is_some_and(|heartbeat| heartbeat.leading.is_some()),
+                draining: heartbeat.is_some_and(|heartbeat| heartbeat.draining),
             }
         };
         self.peers.iter().map(status).collect()
     }
 
-    /// Forgets what a peer said before its process ended; tells whether that was news.
-    fn mark_gone(&mut self, peer: &EntryId) -> bool {
+    /// Clears the leadership of a peer whose process has ended; tells whether it was the leader.
+    fn clear_leading(&mut self, peer: &EntryId) -> bool {
         let state = self.peers.get_mut(peer);
-        state.is_some_and(|state| state.hello.as_mut().is_some_and(|h| h.leading.take().is_some()))
+        state.is_some_and(|state| {
+            state.heartbeat.as_mut().is_some_and(|h| h.leading.take().is_some())
+        })
     }
 
-    /// When any entry of another failure domain was last heard from.
-    pub(crate) fn domain_heard(&self, domain: &DomainId) -> Option<Instant> {
-        let near = self.peers.values().filter(|state| state.domain == *domain);
-        near.filter_map(|state| state.heard).max()
+    /// Time of the last heartbeat of any entry of another failure domain.
+    pub(crate) fn domain_last_heartbeat(&self, domain: &DomainId) -> Option<Instant> {
+        let domain_peers = self.peers.values().filter(|state| state.domain == *domain);
+        domain_peers.filter_map(|state| state.last_heartbeat).max()
     }
 
-    /// When the leader of another failure domain was last heard from.
-    pub(crate) fn leader_heard(&self, domain: &DomainId) -> Option<Instant> {
-        let near = self.peers.values().filter(|state| state.domain == *domain);
-        near.filter(|state| state.hello.as_ref().is_some_and(|hello| hello.leading.is_some()))
-            .filter_map(|state| state.heard)
+    /// Time of the last heartbeat of the leader of another failure domain.
+    pub(crate) fn leader_last_heartbeat(&self, domain: &DomainId) -> Option<Instant> {
+        let domain_peers = self.peers.values().filter(|state| state.domain == *domain);
+        domain_peers
+            .filter(|state| {
+                state.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.leading.is_some())
+            })
+            .filter_map(|state| state.last_heartbeat)
             .max()
     }
 }
 
 impl DomainController {
-    /// Sends heartbeats and what followers lack; gives up on calls without an answer.
+    /// Sends due heartbeats and refuses forwarded calls that were not answered in time.
     pub(crate) fn peers_tick(&mut self, now: Instant) {
-        let due = self.peers.due(now);
+        let due = self.peers.take_due_heartbeats(now);
         if !due.is_empty() {
-            let hello = self.hello();
+            let heartbeat = self.heartbeat();
             for peer in due {
-                let far = self.peers.far(&peer);
-                let free_slots = far.then(|| self.peers.own_room.clone());
-                let hello = PeerHeartbeat { free_slots, ..hello.clone() };
-                self.tell(&peer, PeerMessage::Hello(hello));
+                let is_remote = self.peers.is_remote(&peer);
+                let free_slots = is_remote.then(|| self.peers.own_free_slots.clone());
+                let heartbeat = PeerHeartbeat { free_slots, ..heartbeat.clone() };
+                self.send_peer(&peer, PeerMessage::Hello(heartbeat));
             }
             self.send_peer_slots(now);
         }
         for (id, call) in self.peers.overdue_calls(now) {
-            self.give_up_call(id, &call);
+            self.refuse_overdue_call(id, &call);
         }
     }
 
-    /// Tells the own router which entries have room, where that changed.
+    /// Reports the entries with free slots to the router of this entry, if they changed.
     fn send_peer_slots(&mut self, now: Instant) {
         let peer_slots = self.peers.entries_with_free_slots(now);
         if peer_slots != self.peers.peer_slots {
@@ -263,11 +272,11 @@
         }
     }
 
-    fn hello(&self) -> PeerHeartbeat {
+    fn heartbeat(&self) -> PeerHeartbeat {
         let leading = self.leader.as_ref().map(|leader| LeaderStatus {
             token: leader.token.clone(),
             lease_version: self.leadership.lease_version(),
-            summary: self.own_summary().unwrap_or_default(),
+            summary: self.domain_summary().unwrap_or_default(),
             warm_seq: self.peers.warm_seq,
         });
         PeerHeartbeat {
@@ -281,79 +290,86 @@
         }
     }
 
-    /// Takes a message of a peer.
-    pub(crate) fn hear_peer(&mut self, now: Instant, peer: &EntryId, message: PeerMessage) {
+    /// Handles a message from a peer.
+    pub(crate) fn handle_peer_message(
+        &mut self,
+        now: Instant,
+        peer: &EntryId,
+        message: PeerMessage,
+    ) {
         match message {
-            PeerMessage::Hello(hello) => self.hear_hello(now, peer, hello),
+            PeerMessage::Hello(heartbeat) => self.handle_heartbeat(now, peer, heartbeat),
             PeerMessage::AskConfig => {
                 let config = Box::new(self.config.current().clone());
-                self.tell(peer, PeerMessage::Config(config));
+                self.send_peer(peer, PeerMessage::Config(config));
             }
             PeerMessage::Config(config) => {
                 let outputs = self.config.on_config(*config);
-                self.config_outputs(now, outputs);
+                self.apply_config_outputs(now, outputs);
             }
-            PeerMessage::Demand(report) => self.answer_demand(now, peer, &report),
+            PeerMessage::Demand(report) => self.handle_demand(now, peer, &report),
             PeerMessage::Grant(grant) => self.actions.push(DomainAction::Grant(grant)),
             PeerMessage::Call(id, call) => {
-                self.client_call(now, ReplyTo::Peer(peer.clone(), id), call);
+                self.handle_client_call(now, ReplyTo::Peer(peer.clone(), id), call);
             }
-            PeerMessage::Answer(id, answer) => self.hear_answer(peer, id, answer),
+            PeerMessage::Answer(id, answer) => self.handle_forwarded_answer(peer, id, answer),
             PeerMessage::Records { token, seq, whole, records } => {
-                self.hear_records(peer, token, seq, whole, records);
+                self.handle_records(peer, token, seq, whole, records);
             }
             PeerMessage::AskRecords => self.send_all_records(peer),
             PeerMessage::AskHold { domain, epoch, seq } => {
-                self.answer_hold(now, peer, &domain, epoch, seq);
+                self.handle_hold_request(now, peer, &domain, epoch, seq);
             }
-            PeerMessage::GrantHold { seq } => self.moves.held(peer, seq),
+            PeerMessage::GrantHold { seq } => self.moves.handle_hold_granted(peer, seq),
         }
     }
 
-    fn hear_hello(&mut self, now: Instant, peer: &EntryId, hello: PeerHeartbeat) {
+    fn handle_heartbeat(&mut self, now: Instant, peer: &EntryId, heartbeat: PeerHeartbeat) {
         let own_domain = self.identity.domain.clone();
         let Some(state) = self.peers.peers.get_mut(peer) else {
             return;
         };
-        if hello.protocol != PROTOCOL_VERSION {
+        if heartbeat.protocol != PROTOCOL_VERSION {
             if !std::mem::replace(&mut state.incompatible, true) {
-                warn!("{peer} speaks protocol {}, this entry {PROTOCOL_VERSION}", hello.protocol);
+                warn!("{peer} uses protocol {}, this entry {PROTOCOL_VERSION}", heartbeat.protocol);
             }
             return;
         }
-        if state.hello.as_ref().is_some_and(|before| before.boot > hello.boot) {
+        if state.heartbeat.as_ref().is_some_and(|before| before.boot > heartbeat.boot) {
             return;
         }
         state.incompatible = false;
-        state.heard = Some(now);
-        if let Some(free) = &hello.free_slots {
+        state.last_heartbeat = Some(now);
+        if let Some(free) = &heartbeat.free_slots {
             state.free_slots.clone_from(free);
         }
-        let (revision, leading) = (hello.revision, hello.leading.clone());
-        let led = state.hello.as_ref().is_some_and(|before| before.leading.is_some());
-        state.hello = Some(hello);
-        let near = state.domain == own_domain;
-        if near && led && leading.is_none() {
+        let (revision, leading) = (heartbeat.revision, heartbeat.leading.clone());
+        let was_leading = state.heartbeat.as_ref().is_some_and(|before| before.leading.is_some());
+        state.heartbeat = Some(heartbeat);
+        let same_domain = state.domain == own_domain;
+        if same_domain && was_leading && leading.is_none() {
             self.leadership.on_resignation(now);
         }
         let outputs = self.config.on_peer_revision(peer, revision);
-        self.config_outputs(now, outputs);
-        if let Some(news) = leading.filter(|_| near) {
-            let actions = self.leadership.on_leader(now, &news.token, news.lease_version);
-            self.leadership_actions(now, actions);
-            self.compare_warm(peer, &news);
+        self.apply_config_outputs(now, outputs);
+        if let Some(leader_status) = leading.filter(|_| same_domain) {
+            let actions =
+                self.leadership.on_leader(now, &leader_status.token, leader_status.lease_version);
+            self.apply_leadership_actions(now, actions);
+            self.request_missing_records(peer, &leader_status);
         }
     }
 
-    fn compare_warm(&mut self, peer: &EntryId, news: &LeaderStatus) {
-        let followed = self.leadership.highest() == Some(&news.token) && self.leader.is_none();
-        let current = (news.token.clone(), news.warm_seq);
-        if followed && self.peers.warm.as_ref() != Some(&current) {
-            self.tell(peer, PeerMessage::AskRecords);
+    fn request_missing_records(&mut self, peer: &EntryId, leader_status: &LeaderStatus) {
+        let is_followed =
+            self.leadership.highest() == Some(&leader_status.token) && self.leader.is_none();
+        let current = (leader_status.token.clone(), leader_status.warm_seq);
+        if is_followed && self.peers.warm_position.as_ref() != Some(&current) {
+            self.send_peer(peer, PeerMessage::AskRecords);
         }
     }
 
-    fn hear_records(
+    fn handle_records(
         &mut self,
         peer: &EntryId,
         token: FencingToken,
@@ -361,31 +377,31 @@
         whole: bool,
         records: Vec<LedgerRecord>,
     ) {
-        let followed = self.leadership.highest().is_none_or(|highest| *highest <= token);
-        if self.leader.is_some() || !followed {
+        let is_followed = self.leadership.highest().is_none_or(|highest| *highest <= token);
+        if self.leader.is_some() || !is_followed {
             return;
         }
-        let next = match &self.peers.warm {
+        let next = match &self.peers.warm_position {
             Some((from, last)) => *from == token && seq == last + 1,
             None => false,
         };
         if !whole && !next {
-            return self.tell(peer, PeerMessage::AskRecords);
+            return self.send_peer(peer, PeerMessage::AskRecords);
         }
         if whole {
-            self.warm.clear();
+            self.warm_records.clear();
         }
         for record in records {
             match record {
                 LedgerRecord::Gone(name) => {
-                    self.warm.remove(&name);
+                    self.warm_records.remove(&name);
                 }
                 record => {
-                    self.warm.insert(record.name(), record);
+                    self.warm_records.insert(record.name(), record);
                 }
             }
         }
-        self.peers.warm = Some((token, seq));
+        self.peers.warm_position = Some((token, seq));
     }
 
     fn send_all_records(&mut self, peer: &EntryId) {
@@ -398,23 +414,23 @@
         let token = leader.token.clone();
         let seq = self.peers.warm_seq;
         let records: Vec<LedgerRecord> = self.journal.records().cloned().collect();
-        self.tell(peer, PeerMessage::Records { token, seq, whole: true, records });
+        self.send_peer(peer, PeerMessage::Records { token, seq, whole: true, records });
     }
 
-    /// Sends changed records to the other entries of the domain.
-    pub(crate) fn send_changes(&mut self) {
+    /// Replicates changed records to the other entries of the domain.
+    pub(crate) fn replicate_changes(&mut self) {
         let Some(leader) = &self.leader else {
             return;
         };
         let token = leader.token.clone();
         let mut changes = self.journal.take_changes();
-        let near = self.identity.domain_entries();
+        let domain_entries = self.identity.domain_entries();
         while !changes.is_empty() {
-            let rest = changes.split_off(changes.len().min(RECORD_GROUP));
+            let rest = changes.split_off(changes.len().min(MAX_RECORDS_PER_MESSAGE));
             let records = std::mem::replace(&mut changes, rest);
             self.peers.warm_seq += 1;
             let seq = self.peers.warm_seq;
-            for peer in near.iter().filter(|entry| **entry != self.identity.entry) {
+            for peer in domain_entries.iter().filter(|entry| **entry != self.identity.entry) {
                 let (token, records) = (token.clone(), records.clone());
                 self.actions.push(DomainAction::Peer(
                     peer.clone(),
@@ -424,20 +440,21 @@
         }
     }
 
-    fn hear_answer(&mut self, peer: &EntryId, id: CallId, answer: ClientAnswer) {
-        if self.moves.asked_about(id) {
-            return self.resolve_move(id, &answer);
+    fn handle_forwarded_answer(&mut self, peer: &EntryId, id: CallId, answer: ClientAnswer) {
+        if self.moves.is_move_query(id) {
+            return self.handle_move_answer(id, &answer);
         }
-        let expected = self.peers.calls.get(&id).is_some_and(|handed| handed.leader == *peer);
+        let expected =
+            self.peers.calls.get(&id).is_some_and(|forwarded_call| forwarded_call.leader == *peer);
         if expected {
             self.peers.calls.remove(&id);
             self.reply(&ReplyTo::Client(id), answer);
         }
     }
 
-    fn answer_demand(&mut self, now: Instant, peer: &EntryId, report: &DemandReport) {
+    fn handle_demand(&mut self, now: Instant, peer: &EntryId, report: &DemandReport) {
         if let Some(grant) = self.grant_shares(now, report) {
-            self.tell(peer, PeerMessage::Grant(grant));
+            self.send_peer(peer, PeerMessage::Grant(grant));
         }
     }
 
@@ -452,8 +469,8 @@
         leader.shares.report(now, report)
     }
 
-    /// The own router asks for slots.
-    pub(crate) fn own_demand(&mut self, now: Instant, report: DemandReport) {
+    /// Grants slots to the router of this entry, or sends its demand to the leader of the domain.
+    pub(crate) fn handle_own_demand(&mut self, now: Instant, report: DemandReport) {
         if self.leader.is_some() {
             if let Some(grant) = self.grant_shares(now, &report) {
                 self.actions.push(DomainAction::Grant(grant));
@@ -462,17 +479,18 @@
         }
         let domain = self.identity.domain.clone();
         if let Some(leader) = self.peers.leader_of(now, &domain) {
-            self.tell(&leader, PeerMessage::Demand(report));
+            self.send_peer(&leader, PeerMessage::Demand(report));
         }
     }
 
-    /// The process of a peer is surely gone.
-    pub(crate) fn peer_gone(&mut self, now: Instant, peer: &EntryId) {
+    /// Handles the end of the process of a peer.
+    pub(crate) fn handle_peer_gone(&mut self, now: Instant, peer: &EntryId) {
         if let Some(leader) = &mut self.leader {
             leader.shares.forget_entry(peer);
         }
         let own = self.identity.domain.clone();
-        if self.peers.leader_of(now, &own).as_ref() == Some(peer) && self.peers.mark_gone(peer) {
+        if self.peers.leader_of(now, &own).as_ref() == Some(peer) && self.peers.clear_leading(peer)
+        {
             self.leadership.on_leader_gone(now);
         }
     }
--- a/src/domain/quota.rs
+++ b/src/domain/quota.rs
@@ -1,7 +1,7 @@
-//! Quotas of workspaces, held exactly over all failure domains without a lock.
+//! Quotas of workspaces, enforced exactly across all failure domains without a lock.
 //!
-//! One record in the store splits each quota into parts, one for each failure domain. A domain uses
-//! no more than its part. It takes from what is left over, and gives back, by compare-and-swap.
+//! One record in the store divides each quota into parts, one for each failure domain. A domain uses
+//! no more than its part. It takes unassigned amounts and returns unused ones by compare-and-swap.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,34 +15,34 @@
 use crate::resources::ResourceVector;
 use crate::store::{StoreOutcome, StoreRequest};
 
-/// Key of the record.
+/// Store key of the quota record.
 const QUOTA_KEY: &str = "quota/parts";
-/// Shortest interval between two changes.
+/// Minimum interval between two changes.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(200);
-/// Interval between reads while more is held than there is.
+/// Interval between reads while the parts do not satisfy all demands or exceed the quota.
 const RECHECK_INTERVAL: Duration = Duration::from_secs(2);
-/// Life of a want that is not renewed, in milliseconds.
-const WANT_LIFE_MS: UnixMillis = 10_000;
-/// How long an unused part is kept before it is given back.
+/// Time after which a request that is not renewed is void, in milliseconds.
+const REQUEST_VALIDITY_MS: UnixMillis = 10_000;
+/// Time for which an unused part is kept before it is returned.
 const IDLE_TIME: Duration = Duration::from_secs(5);
 
-/// A failure domain that wants more of a quota than there was left.
+/// Unmet request of a failure domain for more of a quota than was available.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
-struct QuotaWant {
-    /// Since when.
+struct QuotaRequest {
+    /// Time of the first request.
     since: UnixMillis,
-    /// When it last said so; a want that is not renewed is void.
+    /// Time of the last renewal; a request that is not renewed is void.
     renewed: UnixMillis,
 }
 
-/// Parts of all quotas.
+/// Parts and unmet requests of all quotas.
 #[derive(Clone, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 struct QuotaRecord {
     parts: BTreeMap<WorkspaceId, BTreeMap<DomainId, ResourceVector>>,
     #[serde(default)]
-    wants: BTreeMap<WorkspaceId, BTreeMap<DomainId, QuotaWant>>,
+    wants: BTreeMap<WorkspaceId, BTreeMap<DomainId, QuotaRequest>>,
     write_id: String,
 }
 
@@ -52,31 +52,40 @@
         parts.and_then(|parts| parts.get(domain)).copied().unwrap_or_default()
     }
 
-    /// Tells whether more is held than there is, because the quota was lowered.
+    /// Tells whether the parts add up to more than the quota, because the quota was lowered.
     fn exceeded(&self, workspace: &WorkspaceId, quota: &ResourceVector) -> bool {
         let parts = self.parts.get(workspace).into_iter().flat_map(BTreeMap::values);
         let sum = parts.fold(ResourceVector::default(), |sum, part| sum.saturating_add(part));
         !sum.fits(quota)
     }
 
-    /// Tells whether another failure domain has wanted more for longer than `own`.
-    fn behind(&self, now: UnixMillis, workspace: &WorkspaceId, own: &DomainId) -> bool {
+    /// Tells whether another failure domain has an older unmet request than `own`.
+    fn has_older_request(&self, now: UnixMillis, workspace: &WorkspaceId, own: &DomainId) -> bool {
         let Some(wants) = self.wants.get(workspace) else {
             return false;
         };
-        let key = |domain: &DomainId, want: &QuotaWant| (want.since, domain.clone());
-        let first = wants.get(own).map_or((now, own.clone()), |want| key(own, want));
-        let fresh = |want: &QuotaWant| now < want.renewed.saturating_add(WANT_LIFE_MS);
-        wants.iter().any(|(domain, want)| domain != own && fresh(want) && key(domain, want) < first)
+        let key = |domain: &DomainId, request: &QuotaRequest| (request.since, domain.clone());
+        let first = wants.get(own).map_or((now, own.clone()), |request| key(own, request));
+        let is_valid =
+            |request: &QuotaRequest| now < request.renewed.saturating_add(REQUEST_VALIDITY_MS);
+        wants.iter().any(|(domain, request)| {
+            domain != own && is_valid(request) && key(domain, request) < first
+        })
     }
 
-    /// Notes whether `own` wants more than it holds.
-    fn set_want(&mut self, now: UnixMillis, workspace: &WorkspaceId, own: &DomainId, wants: bool) {
+    /// Sets or clears the unmet request of `own`.
+    fn set_request(
+        &mut self,
+        now: UnixMillis,
+        workspace: &WorkspaceId,
+        own: &DomainId,
+        wants: bool,
+    ) {
         let all = self.wants.entry(workspace.clone()).or_default();
         match wants {
             true => {
-                let since = all.get(own).map_or(now, |want| want.since);
-                all.insert(own.clone(), QuotaWant { since, renewed: now });
+                let since = all.get(own).map_or(now, |request| request.since);
+                all.insert(own.clone(), QuotaRequest { since, renewed: now });
             }
             false => {
                 all.remove(own);
@@ -84,9 +93,9 @@
         }
     }
 
-    /// What is left of a quota for `own`: what no failure domain holds, less the floors of those
-    /// that have not written their part yet and may use that much without asking.
-    fn left(
+    /// Amount of a quota that `own` can take: what is in no part, less the floors of the failure
+    /// domains that have not written a part yet, as they may use their floor without a request.
+    fn available(
         &self,
         workspace: &WorkspaceId,
         quota: &ResourceVector,
@@ -105,8 +114,8 @@
     }
 }
 
-/// The part of a quota that each failure domain may use without asking, also while it is cut off:
-/// all floors together are half of the quota.
+/// The part of a quota that each failure domain may use without a request, even while it is cut off.
+/// All floors together are half of the quota.
 fn floor(quota: &ResourceVector, domains: usize) -> ResourceVector {
     let parts = u32::try_from(2 * domains.max(1)).unwrap_or(u32::MAX);
     ResourceVector::new(
@@ -122,29 +131,29 @@
     Write(QuotaRecord),
 }
 
-/// This failure domain's parts of all quotas.
+/// Manages this failure domain's parts of all quotas.
 #[derive(Debug)]
 pub(crate) struct QuotaController {
     domain: DomainId,
     domains: Vec<DomainId>,
-    /// Parts that may be used: as last written by this leader.
+    /// Parts that this failure domain may use, as last written by this leader.
     parts: BTreeMap<WorkspaceId, ResourceVector>,
-    /// Whether this leader has written the record, so that no earlier one can.
+    /// Whether this leader has written the record; pending writes of earlier leaders then fail.
     fenced: bool,
-    wanted: BTreeMap<WorkspaceId, ResourceVector>,
-    retry_pause: Duration,
-    /// What was wanted last, and when.
-    recent: BTreeMap<WorkspaceId, (ResourceVector, Instant)>,
-    /// Workspaces of which another failure domain has wanted more for longer.
-    yielding: BTreeSet<WorkspaceId>,
+    demand: BTreeMap<WorkspaceId, ResourceVector>,
+    retry_delay: Duration,
+    /// Last demand together with the usage at that time, and when it was seen.
+    recent_demand: BTreeMap<WorkspaceId, (ResourceVector, Instant)>,
+    /// Workspaces for which another failure domain has an older unmet request.
+    yielding_workspaces: BTreeSet<WorkspaceId>,
     pending: Option<(CallId, QuotaCall)>,
     next_call: CallId,
     next_change: Instant,
     next_demand: Instant,
-    /// When the record is to be read again although nothing changed here.
-    recheck: Option<Instant>,
-    writes: u64,
-    name: String,
+    /// Time of the next read of the record even if nothing changed here.
+    next_recheck: Option<Instant>,
+    write_count: u64,
+    writer_name: String,
 }
 
 impl QuotaController {
@@ -154,44 +163,44 @@
             domains: identity.domains(),
             parts: BTreeMap::new(),
             fenced: false,
-            wanted: BTreeMap::new(),
-            retry_pause: CHANGE_INTERVAL,
-            recent: BTreeMap::new(),
-            yielding: BTreeSet::new(),
+            demand: BTreeMap::new(),
+            retry_delay: CHANGE_INTERVAL,
+            recent_demand: BTreeMap::new(),
+            yielding_workspaces: BTreeSet::new(),
             pending: None,
             next_call: 0,
             next_change: now,
             next_demand: now,
-            recheck: None,
-            writes: 0,
-            name: format!("{}-{}", identity.entry, identity.boot),
+            next_recheck: None,
+            write_count: 0,
+            writer_name: format!("{}-{}", identity.entry, identity.boot),
         }
     }
 
-    /// A new leader knows nothing about the parts until it has written the record.
-    pub(crate) fn lead(&mut self, now: Instant) {
+    /// Starts a term as leader. The parts are unknown until this leader has written the record.
+    pub(crate) fn start_term(&mut self, now: Instant) {
         self.parts.clear();
         self.fenced = false;
         self.pending = None;
         self.next_change = now;
     }
 
-    /// The configuration changed.
-    pub(crate) fn hurry(&mut self, now: Instant) {
+    /// Schedules a read of the record after a change of the configuration.
+    pub(crate) fn schedule_recheck(&mut self, now: Instant) {
         self.next_change = self.next_change.min(now + CHANGE_INTERVAL);
-        self.recheck = Some(now);
+        self.next_recheck = Some(now);
     }
 
-    /// Parts that may be used.
+    /// Parts that this failure domain may use.
     pub(crate) fn parts(&self) -> &BTreeMap<WorkspaceId, ResourceVector> {
         &self.parts
     }
 
-    /// Asking again where nothing was left takes longer each time.
-    fn pause(&mut self) -> Duration {
-        let pause = self.retry_pause;
-        self.retry_pause = (pause * 2).min(RECHECK_INTERVAL);
-        pause
+    /// Pause before the next attempt; doubles each time up to [`RECHECK_INTERVAL`].
+    fn next_retry_delay(&mut self) -> Duration {
+        let retry_delay = self.retry_delay;
+        self.retry_delay = (retry_delay * 2).min(RECHECK_INTERVAL);
+        retry_delay
     }
 
     fn call(&mut self, call: QuotaCall, version: KeyVersion) -> (CallId, StoreRequest) {
@@ -209,75 +218,78 @@
         (self.next_call, request)
     }
 
-    /// The part that this domain should hold: what it uses and wants, as far as there is some left.
-    /// What it lately wanted is kept for a while, unless another domain has waited for longer: then
-    /// it holds what it uses, so that two domains cannot wait for each other's parts.
-    fn target(
+    /// The part that this domain should hold: its usage and demand, limited by what is available.
+    /// A part taken for a recent demand is kept for [`IDLE_TIME`], unless another domain has an older
+    /// unmet request: then only the usage and the floor are kept, so that two domains cannot wait for
+    /// each other's parts.
+    fn target_part(
         &self,
         now: Instant,
         workspace: &WorkspaceId,
         quota: &ResourceVector,
         used: ResourceVector,
         held: ResourceVector,
-        left: ResourceVector,
+        available: ResourceVector,
     ) -> ResourceVector {
-        let least = used.component_max(&floor(quota, self.domains.len()));
-        let wanted = self.wanted.get(workspace).copied().unwrap_or_default();
-        let asked = used.saturating_add(&wanted).component_max(&least);
-        let recent = self.recent.get(workspace).filter(|(_, at)| now < *at + IDLE_TIME);
-        let kept = recent.map_or(asked, |(recent, _)| asked.component_max(recent));
-        let grown = held.saturating_add(&asked.saturating_sub(&held).component_min(&left));
-        match self.yielding.contains(workspace) {
-            true => held.component_min(&least).component_max(&used),
-            false => grown.component_min(&kept).component_max(&least.component_min(&grown)),
+        let minimum = used.component_max(&floor(quota, self.domains.len()));
+        let demand = self.demand.get(workspace).copied().unwrap_or_default();
+        let requested = used.saturating_add(&demand).component_max(&minimum);
+        let recent_demand =
+            self.recent_demand.get(workspace).filter(|(_, at)| now < *at + IDLE_TIME);
+        let retained = recent_demand
+            .map_or(requested, |(recent_demand, _)| requested.component_max(recent_demand));
+        let grown = held.saturating_add(&requested.saturating_sub(&held).component_min(&available));
+        match self.yielding_workspaces.contains(workspace) {
+            true => held.component_min(&minimum).component_max(&used),
+            false => grown.component_min(&retained).component_max(&minimum.component_min(&grown)),
         }
     }
 
-    /// The bound for the scheduler: the part, or less of it while another domain waits, so that what
-    /// ends here does not start again at once.
-    fn cap(
+    /// The usage limit for the scheduler: the part, lowered by a quarter while another domain waits,
+    /// so that tasks that end here are not replaced at once.
+    fn usage_limit(
         &self,
         workspace: &WorkspaceId,
         quota: &ResourceVector,
         part: ResourceVector,
     ) -> ResourceVector {
-        let least = floor(quota, self.domains.len());
+        let minimum = floor(quota, self.domains.len());
         let lowered =
-            part.saturating_sub(&part.quarter()).component_max(&least).component_min(&part);
-        match self.yielding.contains(workspace) {
+            part.saturating_sub(&part.quarter()).component_max(&minimum).component_min(&part);
+        match self.yielding_workspaces.contains(workspace) {
             true => lowered,
             false => part,
         }
     }
 
-    /// Tells whether a workspace wants more than is held here.
-    fn unsatisfied(
+    /// Tells whether the usage and demand of a workspace exceed its part.
+    fn exceeds_part(
         &self,
         workspace: &WorkspaceId,
         used: &ResourceVector,
         part: &ResourceVector,
     ) -> bool {
-        let wanted = self.wanted.get(workspace).copied().unwrap_or_default();
-        wanted != ResourceVector::default() && !used.saturating_add(&wanted).fits(part)
+        let demand = self.demand.get(workspace).copied().unwrap_or_default();
+        demand != ResourceVector::default() && !used.saturating_add(&demand).fits(part)
     }
 
-    /// Notes what workspaces want.
+    /// Records the demand of the workspaces.
     fn note_demand(
         &mut self,
         now: Instant,
-        wanted: BTreeMap<WorkspaceId, ResourceVector>,
+        demand: BTreeMap<WorkspaceId, ResourceVector>,
         used: &BTreeMap<WorkspaceId, ResourceVector>,
     ) {
-        for (workspace, want) in &wanted {
+        for (workspace, amount) in &demand {
             let used = used.get(workspace).copied().unwrap_or_default();
-            self.recent.insert(workspace.clone(), (used.saturating_add(want), now));
+            self.recent_demand.insert(workspace.clone(), (used.saturating_add(amount), now));
         }
-        self.wanted = wanted;
+        self.demand = demand;
     }
 }
 
 impl DomainController {
-    /// Tells the scheduler its bounds and starts a change of parts where one is due.
+    /// Sets the limits of the scheduler and starts a change of parts if one is due.
     pub(crate) fn quota_tick(&mut self, now: Instant) {
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.active && leader.settled)
         else {
@@ -285,23 +297,23 @@
         };
         if now >= self.quota.next_demand {
             self.quota.next_demand = now + CHANGE_INTERVAL;
-            let wanted = leader.scheduler.quota_demand();
-            self.quota.note_demand(now, wanted, leader.scheduler.used());
+            let demand = leader.scheduler.quota_demand();
+            self.quota.note_demand(now, demand, leader.scheduler.used());
         }
-        self.apply_parts();
+        self.apply_quota_parts();
         if self.quota.pending.is_none()
             && now >= self.quota.next_change
             && self.quota_change_due(now)
         {
-            self.quota.next_change = now + self.quota.pause();
+            self.quota.next_change = now + self.quota.next_retry_delay();
             let (id, request) = self.quota.call(QuotaCall::Read, 0);
-            self.store(StoreOwner::Quota, id, request);
+            self.call_store(StoreOwner::Quota, id, request);
         }
     }
 
-    /// Sets the scheduler's bounds: the own part, or what runs already where it is not known. Has to
-    /// be done before anything is placed under a new leader or configuration.
-    pub(crate) fn apply_parts(&mut self) {
+    /// Sets the limits of the scheduler to the parts of this domain, or to the current usage while
+    /// the parts are unknown. Must run before any placement under a new leader or configuration.
+    pub(crate) fn apply_quota_parts(&mut self) {
         let Some(leader) = &mut self.leader else {
             return;
         };
@@ -313,7 +325,7 @@
                 (None, _) => None,
                 (Some(quota), true) => {
                     let part = self.quota.parts.get(&workspace).copied().unwrap_or_default();
-                    Some(self.quota.cap(&workspace, quota, part))
+                    Some(self.quota.usage_limit(&workspace, quota, part))
                 }
                 (Some(_), false) => {
                     let used = leader.scheduler.used().get(&workspace).copied().unwrap_or_default();
@@ -327,7 +339,7 @@
         }
     }
 
-    fn used_by(&self, workspace: &WorkspaceId) -> ResourceVector {
+    fn usage_of(&self, workspace: &WorkspaceId) -> ResourceVector {
         let leader = self.leader.as_ref();
         leader.and_then(|l| l.scheduler.used().get(workspace)).copied().unwrap_or_default()
     }
@@ -337,16 +349,16 @@
         let stale = self.quota.parts.keys().any(|workspace| !config.quotas.contains_key(workspace));
         let differs = config.quotas.iter().any(|(workspace, quota)| {
             let held = self.quota.parts.get(workspace).copied().unwrap_or_default();
-            let used = self.used_by(workspace);
-            let most = ResourceVector::new(u32::MAX, u32::MAX, u32::MAX);
-            self.quota.target(now, workspace, quota, used, held, most) != held
+            let used = self.usage_of(workspace);
+            let unlimited = ResourceVector::new(u32::MAX, u32::MAX, u32::MAX);
+            self.quota.target_part(now, workspace, quota, used, held, unlimited) != held
         });
-        let recheck = self.quota.recheck.is_some_and(|at| now >= at);
-        (!self.quota.fenced && !config.quotas.is_empty()) || differs || stale || recheck
+        let recheck_due = self.quota.next_recheck.is_some_and(|at| now >= at);
+        (!self.quota.fenced && !config.quotas.is_empty()) || differs || stale || recheck_due
     }
 
-    /// Brings back the outcome of a call.
-    pub(crate) fn quota_answer(&mut self, now: Instant, id: CallId, outcome: StoreOutcome) {
+    /// Handles the outcome of a call to the store.
+    pub(crate) fn handle_quota_outcome(&mut self, now: Instant, id: CallId, outcome: StoreOutcome) {
         let call = match self.quota.pending.take() {
             Some((call, pending)) if call == id => pending,
             other => {
@@ -368,13 +380,13 @@
             (QuotaCall::Write(record), StoreOutcome::Written(_)) => {
                 let parts = self.own_parts(&record);
                 if parts != self.quota.parts {
-                    self.quota.retry_pause = CHANGE_INTERVAL;
+                    self.quota.retry_delay = CHANGE_INTERVAL;
                 }
                 self.quota.parts = parts;
                 self.quota.fenced = true;
-                self.apply_parts();
+                self.apply_quota_parts();
             }
-            _ => self.quota.recheck = Some(now + RECHECK_INTERVAL),
+            _ => self.quota.next_recheck = Some(now + RECHECK_INTERVAL),
         }
     }
 
@@ -384,15 +396,15 @@
         parts.map(|workspace| (workspace.clone(), record.part(workspace, domain))).collect()
     }
 
-    /// Works out the own parts against the record as read, and writes it.
+    /// Computes the parts of this domain from the record as read, and writes the record.
     fn write_parts(&mut self, now: Instant, before: QuotaRecord, version: KeyVersion) {
         let quotas = self.config.current().quotas.clone();
         let unix = self.clock.unix(now);
         let domain = self.quota.domain.clone();
         let mut record = before.clone();
-        self.quota.recheck = None;
+        self.quota.next_recheck = None;
         for (workspace, quota) in &quotas {
-            self.split(now, unix, &mut record, workspace, quota);
+            self.update_own_part(now, unix, &mut record, workspace, quota);
         }
         for (workspace, parts) in &mut record.parts {
             if !quotas.contains_key(workspace) {
@@ -403,28 +415,28 @@
         record.wants.retain(|workspace, wants| quotas.contains_key(workspace) && !wants.is_empty());
         let known = self.own_parts(&record) == self.quota.parts;
         if record == before && self.quota.fenced && known {
-            return self.apply_parts();
+            return self.apply_quota_parts();
         }
-        self.quota.writes += 1;
-        record.write_id = format!("{}-{}", self.quota.name, self.quota.writes);
+        self.quota.write_count += 1;
+        record.write_id = format!("{}-{}", self.quota.writer_name, self.quota.write_count);
         self.lower_parts(&record);
         let (id, request) = self.quota.call(QuotaCall::Write(record), version);
-        self.store(StoreOwner::Quota, id, request);
+        self.call_store(StoreOwner::Quota, id, request);
     }
 
-    /// From the moment that a write is sent, and until it is known to have taken effect, the smaller
-    /// of the old part and the new one holds.
+    /// Limits each part to the smaller of the old and the new one while the outcome of a write is
+    /// unknown.
     fn lower_parts(&mut self, record: &QuotaRecord) {
         let written = self.own_parts(record);
         for (workspace, part) in &mut self.quota.parts {
             let new = written.get(workspace).copied().unwrap_or_default();
             *part = part.component_min(&new);
         }
-        self.apply_parts();
+        self.apply_quota_parts();
     }
 
-    /// Works out the own part of one quota.
-    fn split(
+    /// Computes the part of this domain in one quota and records its unmet request.
+    fn update_own_part(
         &mut self,
         now: Instant,
         unix: UnixMillis,
@@ -434,23 +446,23 @@
     ) {
         let domain = self.quota.domain.clone();
         let recorded = record.part(workspace, &domain);
-        let used = self.used_by(workspace);
-        let left = record.left(workspace, quota, &domain, &self.domains);
-        let left = left.saturating_sub(&used.saturating_sub(&recorded));
+        let used = self.usage_of(workspace);
+        let available = record.available(workspace, quota, &domain, &self.domains);
+        let available = available.saturating_sub(&used.saturating_sub(&recorded));
         let held = recorded.component_max(&used);
-        let least = used.component_max(&floor(quota, self.domains.len()));
-        match record.behind(unix, workspace, &domain) {
-            true => self.quota.yielding.insert(workspace.clone()),
-            false => self.quota.yielding.remove(workspace),
+        let minimum = used.component_max(&floor(quota, self.domains.len()));
+        match record.has_older_request(unix, workspace, &domain) {
+            true => self.quota.yielding_workspaces.insert(workspace.clone()),
+            false => self.quota.yielding_workspaces.remove(workspace),
         };
         let part = match record.exceeded(workspace, quota) {
-            true => held.component_min(&least),
-            false => self.quota.target(now, workspace, quota, used, held, left),
+            true => held.component_min(&minimum),
+            false => self.quota.target_part(now, workspace, quota, used, held, available),
         };
-        let wants = self.quota.unsatisfied(workspace, &used, &part);
-        record.set_want(unix, workspace, &domain, wants);
-        if wants || !part.fits(&least) || self.quota.yielding.contains(workspace) {
-            self.quota.recheck = Some(now + RECHECK_INTERVAL);
+        let wants = self.quota.exceeds_part(workspace, &used, &part);
+        record.set_request(unix, workspace, &domain, wants);
+        if wants || !part.fits(&minimum) || self.quota.yielding_workspaces.contains(workspace) {
+            self.quota.next_recheck = Some(now + RECHECK_INTERVAL);
         }
         record.parts.entry(workspace.clone()).or_default().insert(domain, part);
     }
--- a/src/domain/view.rs
+++ b/src/domain/view.rs
@@ -1,4 +1,4 @@
-//! What operators see: status and state dump.
+//! Status and state dump for operators.
 
 use serde_json::json;
 use tokio::time::Instant;
@@ -8,8 +8,8 @@
 use crate::message::{EntryStatus, StatusView};
 
 impl DomainController {
-    /// What the failure domain has, while this entry leads it.
-    pub(crate) fn own_summary(&self) -> Option<DomainSummary> {
+    /// Resources of the failure domain, while this entry leads it and all workers are resolved.
+    pub(crate) fn domain_summary(&self) -> Option<DomainSummary> {
         let leader = self.leader.as_ref().filter(|leader| leader.settled)?;
         let pool = leader.scheduler.pool();
         Some(DomainSummary {
@@ -39,12 +39,12 @@
             revision: config.revision,
             store_up: self.leadership.store_up(now),
             entries,
-            domains: self.peers.cluster(now, &self.own_summary()),
+            domains: self.peers.cluster(now, &self.domain_summary()),
             intents: counts.map(|(name, intent)| (name.clone(), intent.spec.count)).collect(),
         }
     }
 
-    /// State of the controllers.
+    /// State of all controllers as JSON.
     pub(crate) fn dump(&self, now: Instant) -> serde_json::Value {
         let leader = self.leader.as_ref().map(|leader| {
             let scheduler = &leader.scheduler;
@@ -99,12 +99,12 @@
                 "records": self.journal.len(),
                 "backlog": self.journal.backlog(),
             },
-            "warm_records": self.warm.len(),
+            "warm_records": self.warm_records.len(),
             "workers": {"known": self.fleet.len(), "claimed": self.fleet.claimed()},
             "silent_workers": self.silent_workers,
             "leaving_workers": self.leaving_workers,
             "quota_parts": self.quota.parts(),
-            "holds": self.moves.holding(now),
+            "holds": self.moves.valid_holds(now),
             "peers": self.peers.statuses(now),
             "leader": leader,
         })
