--- a/tests/decisions/ends.rs
+++ b/tests/decisions/ends.rs
@@ -1,4 +1,4 @@
-//! What is said of tasks that end in unusual ways.
+//! Recorded ends of cancelled tasks and of tasks that lose their workers.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn a_cancelled_task_that_its_worker_stopped_is_never_said_not_to_have_run() {
+fn a_cancelled_task_that_its_worker_stopped_is_recorded_as_run() {
     let (now, need) = (Instant::now(), ResourceVector::new(1_000, 1_000, 0));
     let mut scheduler = TaskScheduler::new();
     let capacity = ResourceVector::new(8_000, 8_000, 0);
@@ -45,19 +45,19 @@
     expect_that!(scheduler.pass(now, 0), contains(eq(&ended)));
 }
 
-// A task that crashes each worker that starts it was started again for good: the loss of a worker counted against
-// nobody. Here each worker is lost three seconds after the start, and the next one is there.
+// Guards against a task that crashes every worker that starts it and is restarted without end, because the loss of a
+// worker did not count as a failure of the task. Each worker is lost three seconds after the start and a new one joins.
 #[gtest]
-fn a_task_whose_workers_are_lost_each_time_is_given_up() {
+fn a_task_that_loses_each_worker_soon_after_its_start_is_stopped() {
     let (mut now, need) = (Instant::now(), ResourceVector::new(1_000, 1_000, 0));
     let mut scheduler = TaskScheduler::new();
     let capacity = ResourceVector::new(8_000, 8_000, 0);
     scheduler.add_job(&job(need), false);
-    let mut stopped = Vec::new();
-    for life in 0..10 {
-        let id: WorkerId = format!("w{life}").into();
+    let mut actions = Vec::new();
+    for number in 0..10 {
+        let id: WorkerId = format!("w{number}").into();
         scheduler.add_worker(WorkerSpec { id: id.clone(), rack: "r".into(), capacity });
-        stopped.extend(scheduler.pass(now, 0));
+        actions.extend(scheduler.pass(now, 0));
         if scheduler.live().is_empty() {
             break;
         }
@@ -65,22 +65,22 @@
         scheduler.remove_worker(now, &id);
         now += Duration::from_secs(5);
     }
-    stopped.extend(scheduler.pass(now, 0));
+    actions.extend(scheduler.pass(now, 0));
     let starts = |action: &&PlacementAction| matches!(action, PlacementAction::Start { .. });
-    expect_that!(stopped.iter().filter(starts).count(), le(4));
-    let ends = |action: &&PlacementAction| matches!(action, PlacementAction::JobStopped { .. });
-    expect_that!(stopped.iter().filter(ends).count(), eq(1));
+    expect_that!(actions.iter().filter(starts).count(), le(4));
+    let stops = |action: &&PlacementAction| matches!(action, PlacementAction::JobStopped { .. });
+    expect_that!(actions.iter().filter(stops).count(), eq(1));
 }
 
-// Losses that come long after the start, as with workers that are replaced, say nothing of the task.
+// The loss of a worker long after the start, as when workers are replaced, does not count against the task.
 #[gtest]
-fn a_task_whose_workers_are_lost_late_goes_on() {
+fn a_task_that_loses_its_workers_long_after_the_start_continues() {
     let (mut now, need) = (Instant::now(), ResourceVector::new(1_000, 1_000, 0));
     let mut scheduler = TaskScheduler::new();
     let capacity = ResourceVector::new(8_000, 8_000, 0);
     scheduler.add_job(&job(need), false);
-    for life in 0..10 {
-        let id: WorkerId = format!("w{life}").into();
+    for number in 0..10 {
+        let id: WorkerId = format!("w{number}").into();
         scheduler.add_worker(WorkerSpec { id: id.clone(), rack: "r".into(), capacity });
         scheduler.pass(now, 0);
         expect_that!(scheduler.live().len(), eq(1));
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! The decision cores of several entries under failures: scripted scenarios and long random runs.
+//! Tests of the controllers of several entries under failures: scripted scenarios and random runs.
 
 mod ends;
 mod random;
--- a/tests/decisions/random.rs
+++ b/tests/decisions/random.rs
@@ -1,7 +1,7 @@
-//! Long random runs: seeded, with all faults together and twice.
+//! Random runs from seeds, in which faults of all kinds overlap.
 //!
-//! `KELPLINK_RANDOM_SECONDS` lets them run for that long with ever new seeds; `KELPLINK_RANDOM_SEED`
-//! repeats one.
+//! With `KELPLINK_RANDOM_SECONDS` they run for that long with new seeds; `KELPLINK_RANDOM_SEED` repeats
+//! a single seed.
 
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
 
 use crate::world::{DeliveryFaults, World};
 
-/// Rounds of faults in one run.
+/// Number of faults injected in one run.
 const ROUNDS: u32 = 30;
-/// Seeds that `cargo test` runs.
+/// Seeds that `cargo test` runs by default.
 const SHORT_SEEDS: std::ops::Range<u64> = 0..12;
-/// Seeds that failed once; `docs/MEASUREMENTS.md` says why.
-const FAILED_ONCE: [u64; 23] = [
+/// Seeds that failed before; `docs/MEASUREMENTS.md` gives the causes.
+const REGRESSION_SEEDS: [u64; 23] = [
     1_003, 1_009, 1_017, 1_026, 1_040, 1_047, 1_091, 1_097, 1_106, 1_117, 1_120, 1_143, 1_164,
     1_253, 1_264, 1_269, 1_285, 1_383, 1_496, 1_826, 2_370, 2_850, 3_350,
 ];
@@ -62,7 +62,7 @@
     all[world.rng.random_range(0..all.len())].clone()
 }
 
-fn accept(world: &mut World, spec: IntentSpec) {
+fn accept_intent(world: &mut World, spec: IntentSpec) {
     let entries = world.all_entries();
     let entry = pick(world, &entries);
     let quota = spec.quota;
@@ -77,7 +77,7 @@
     }
 }
 
-fn submit(world: &mut World, number: u64) {
+fn submit_job(world: &mut World, number: u64) {
     let templates = ["check", "order", "mover", "gang", "gpu"];
     let template = pick(world, &templates);
     let count = world.rng.random_range(1..4);
@@ -89,7 +89,7 @@
         command: Some(format!("run {}", world.rng.random_range(100..6_000))),
     };
     if template == "order" {
-        world.once_jobs.insert(id.as_str().into());
+        world.non_idempotent_jobs.insert(id.as_str().into());
     }
     let entries: Vec<EntryId> = world.entries.keys().cloned().collect();
     if !entries.is_empty() {
@@ -98,7 +98,7 @@
     }
 }
 
-fn fault(world: &mut World) {
+fn inject_fault(world: &mut World) {
     let entries = world.all_entries();
     let domains = world.all_domains();
     let workers: Vec<_> = world.workers.keys().cloned().collect();
@@ -111,7 +111,7 @@
         2 => world.store.set_fault(StoreFault::Down),
         3 => world.store.set_fault(StoreFault::LostAnswers),
         4 => {
-            world.cut.insert(domain);
+            world.cut_domains.insert(domain);
         }
         5 => {
             world.cut_workers.insert(worker);
@@ -132,30 +132,30 @@
             };
         }
         9 => world.workers.get_mut(&worker).unwrap().set_fails_everything(true),
-        10 => mend_entries(world),
+        10 => restore_entries(world),
         11 => world.store.set_fault(StoreFault::None),
         12 => {
-            world.cut.clear();
+            world.cut_domains.clear();
             world.cut_from_store.clear();
         }
         _ => world.cut_workers.clear(),
     }
 }
 
-fn mend_entries(world: &mut World) {
+fn restore_entries(world: &mut World) {
     for entry in world.all_entries() {
         match world.entries.get(&entry) {
             None => world.start(&entry),
-            Some(state) if state.paused => world.wake(&entry),
+            Some(state) if state.paused => world.resume(&entry),
             Some(_) => {}
         }
     }
 }
 
-fn mend_all(world: &mut World) {
-    mend_entries(world);
+fn repair_all(world: &mut World) {
+    restore_entries(world);
     world.store.set_fault(StoreFault::None);
-    world.cut.clear();
+    world.cut_domains.clear();
     world.cut_workers.clear();
     world.cut_from_store.clear();
     world.faults = DeliveryFaults::default();
@@ -164,18 +164,18 @@
     }
 }
 
-/// One run; panics where something that must hold does not.
-fn run(seed: u64) -> u64 {
+/// Performs one run and returns its number of steps; panics if an invariant is violated.
+fn simulate(seed: u64) -> u64 {
     let mut world = World::new(seed, 3, 2, 4);
     world.run(Duration::from_secs(5));
     for spec in intents() {
-        accept(&mut world, spec);
+        accept_intent(&mut world, spec);
     }
     let mut number = 0;
     for _ in 0..ROUNDS {
         for _ in 0..world.rng.random_range(0..4) {
             number += 1;
-            submit(&mut world, number);
+            submit_job(&mut world, number);
         }
         if number > 0 && world.rng.random_bool(0.2) {
             let id = format!("ws/j{}", world.rng.random_range(1..=number));
@@ -184,34 +184,38 @@
                 world.call(&entry, ClientCall::Cancel(id.as_str().into()));
             }
         }
-        fault(&mut world);
+        inject_fault(&mut world);
         log::info!("{}", world.describe());
         let pause = world.rng.random_range(50..8_000);
         world.run(Duration::from_millis(pause));
     }
-    mend_all(&mut world);
-    log::info!("mended: {}", world.describe());
+    repair_all(&mut world);
+    log::info!("faults repaired: {}", world.describe());
     world.run(Duration::from_secs(200));
-    settle(&mut world, number);
-    assert_eq!(kelplink::broken_invariants(), 0, "an invariant was broken");
+    check_recovery(&mut world, number);
+    assert_eq!(kelplink::broken_invariants(), 0, "number of violated invariants");
     world.steps
 }
 
-/// After everything was mended: one leader each, equal revisions, all jobs over.
-fn settle(world: &mut World, jobs: u64) {
+/// Checks the state after all faults are repaired: one leader per failure domain, equal revisions, and
+/// all jobs over that are not waiting for quota.
+fn check_recovery(world: &mut World, jobs: u64) {
     for (domain, leaders) in world.leaders() {
         assert_eq!(leaders.len(), 1, "leaders of {domain}: {leaders:?}");
     }
     let revisions: Vec<_> =
         world.entries.values().map(|state| state.controller.revision()).collect();
-    assert!(revisions.windows(2).all(|pair| pair[0] == pair[1]), "revisions {revisions:?}");
+    assert!(
+        revisions.windows(2).all(|pair| pair[0] == pair[1]),
+        "entries have different revisions: {revisions:?}"
+    );
     let entry = world.all_entries()[0].clone();
     for number in 1..=jobs {
         let id = format!("ws/j{number}");
         let call = ClientCall::Job(id.as_str().into());
         match world.ask(&entry, call, Duration::from_secs(5)) {
             Some(ClientAnswer::Job(view)) if view.record.moved.is_none() => {
-                if !view.record.is_over() && !quota_is_taken(world, &view) {
+                if !view.record.is_over() && !waits_for_quota(world, &view) {
                     let leaders = world.leaders();
                     let leader = leaders[&view.domain][0].clone();
                     let dump = world.ask(&leader, ClientCall::Dump, Duration::from_secs(1));
@@ -225,9 +229,10 @@
     }
 }
 
-/// Tells whether a job rightly waits: what the other failure domains use of the quota, or may use
-/// without asking, leaves less than it needs at once. Parts that are held and not used excuse nothing.
-fn quota_is_taken(world: &World, view: &JobView) -> bool {
+/// Tells whether a job waits for a valid reason: the usage and the floors of the other failure domains
+/// leave less of the quota than the job needs at once. A part that is held beyond usage and floor is
+/// not a valid reason.
+fn waits_for_quota(world: &World, view: &JobView) -> bool {
     let (Some(quota), Some(stored)) = (world.quotas.get("ws"), world.store.get("quota/parts"))
     else {
         return false;
@@ -253,9 +258,9 @@
     spec.need.millicores * tasks > quota.millicores.saturating_sub(taken)
 }
 
-/// Runs a seed and says how to repeat it where it fails.
-fn run_named(seed: u64) -> std::result::Result<u64, String> {
-    std::panic::catch_unwind(|| run(seed)).map_err(|cause| {
+/// Runs a seed; the error states how to repeat it.
+fn run_seed(seed: u64) -> std::result::Result<u64, String> {
+    std::panic::catch_unwind(|| simulate(seed)).map_err(|cause| {
         let text = cause.downcast_ref::<String>().cloned();
         let text = text.or_else(|| cause.downcast_ref::<&str>().map(|text| (*text).to_owned()));
         println!("seed {seed} failed");
@@ -267,18 +272,18 @@
 }
 
 #[gtest]
-fn what_must_hold_holds_under_all_faults() {
+fn invariants_hold_under_all_faults() {
     let number = |name| std::env::var(name).ok().and_then(|text: String| text.parse::<u64>().ok());
     if let Some(seed) = number("KELPLINK_RANDOM_SEED") {
         let _ = env_logger::Builder::from_env("KELPLINK_LOG").format_timestamp(None).try_init();
-        expect_that!(run_named(seed), ok(anything()));
+        expect_that!(run_seed(seed), ok(anything()));
         return;
     }
     if let Some(seconds) = number("KELPLINK_RANDOM_SECONDS") {
         return run_for(Duration::from_secs(seconds));
     }
-    for seed in SHORT_SEEDS.chain(FAILED_ONCE) {
-        expect_that!(run_named(seed), ok(anything()));
+    for seed in SHORT_SEEDS.chain(REGRESSION_SEEDS) {
+        expect_that!(run_seed(seed), ok(anything()));
     }
 }
 
@@ -291,7 +296,7 @@
                 while started.elapsed() < time && failures.len() < 3 {
                     let seed = 1_000 + thread + 4 * seeds;
                     seeds += 1;
-                    match run_named(seed) {
+                    match run_seed(seed) {
                         Ok(done) => steps += done,
                         Err(failure) => failures.push(failure),
                     }
--- a/tests/decisions/scenarios.rs
+++ b/tests/decisions/scenarios.rs
@@ -1,7 +1,7 @@
-//! Scripted scenarios in a small test language, one file each under `tests/scenarios`.
+//! Scripted scenarios in a small test language, one file each in `tests/scenarios`.
 //!
-//! `UPDATE_GOLDENFILES=1 cargo test --test decisions scenarios` writes what is seen into the files; read the
-//! difference before it is kept.
+//! `UPDATE_GOLDENFILES=1 cargo test --test decisions scenarios` writes the actual output into the files; review
+//! the difference before committing it.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -22,7 +22,7 @@
 
 type Outcome = std::result::Result<String, Box<dyn Error>>;
 
-/// Longest wait for an answer.
+/// Time limit for an answer.
 const ANSWER_TIME: Duration = Duration::from_secs(15);
 
 #[derive(Default)]
@@ -32,8 +32,8 @@
     requests: u64,
 }
 
-/// Takes an argument by its name.
-fn lookup<T: FromStr>(
+/// Takes and parses an argument by its name.
+fn take_argument<T: FromStr>(
     args: &mut ArgumentConsumer<'_>,
     key: &str,
 ) -> std::result::Result<Option<T>, Box<dyn Error>>
@@ -43,7 +43,7 @@
     Ok(args.take_key(key).map(str::parse).transpose()?)
 }
 
-fn millis(text: &str) -> std::result::Result<Duration, Box<dyn Error>> {
+fn parse_duration(text: &str) -> std::result::Result<Duration, Box<dyn Error>> {
     let (number, unit) =
         text.split_at(text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len()));
     let number: u64 = number.parse()?;
@@ -57,10 +57,11 @@
 
 impl Scenario {
     fn world(&mut self) -> std::result::Result<&mut World, Box<dyn Error>> {
-        self.world.as_mut().ok_or_else(|| "begin with `cluster`".into())
+        self.world.as_mut().ok_or_else(|| "the first command must be `cluster`".into())
     }
 
-    /// The entry of a name; `leader.a` is the one that leads a, `follower.a` one that does not.
+    /// The entry with this name; `leader.a` is the leader of failure domain `a`, `follower.a` another entry
+    /// of it.
     fn entry(&mut self, name: &str) -> std::result::Result<EntryId, Box<dyn Error>> {
         let world = self.world()?;
         let leaders = world.leaders();
@@ -73,7 +74,7 @@
             }
             _ => Some(name.into()),
         };
-        found.ok_or_else(|| format!("no {name}").into())
+        found.ok_or_else(|| format!("no entry {name}").into())
     }
 
     fn ask(
@@ -88,25 +89,25 @@
     /// `cluster domains=1 entries=3 workers=4 seed=1`
     fn cluster(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
-        let domains = lookup(&mut args, "domains")?.unwrap_or(1);
-        let entries = lookup(&mut args, "entries")?.unwrap_or(3);
-        let workers = lookup(&mut args, "workers")?.unwrap_or(4);
-        let seed = lookup(&mut args, "seed")?.unwrap_or(1);
+        let domains = take_argument(&mut args, "domains")?.unwrap_or(1);
+        let entries = take_argument(&mut args, "entries")?.unwrap_or(3);
+        let workers = take_argument(&mut args, "workers")?.unwrap_or(4);
+        let seed = take_argument(&mut args, "seed")?.unwrap_or(1);
         args.reject_next()?;
         self.world = Some(World::new(seed, domains, entries, workers));
         Ok(String::new())
     }
 
-    fn run_time(&mut self, command: &Command) -> Outcome {
+    fn advance_time(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
-        let time = millis(args.next_pos().ok_or("a time is missing")?)?;
+        let time = parse_duration(args.next_pos().ok_or("a time is missing")?)?;
         args.reject_next()?;
         self.world()?.run(time);
         Ok(String::new())
     }
 
     /// `kill a0`, `start a0` or `start all`, `pause a0`, `wake a0`, `leave a0`
-    fn on_entry(&mut self, command: &Command) -> Outcome {
+    fn change_entry(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
         let name = args.next_pos().ok_or("an entry is missing")?;
         args.reject_next()?;
@@ -122,8 +123,8 @@
             "kill" => world.kill(&entry),
             "start" => world.start(&entry),
             "pause" => world.pause(&entry),
-            "wake" => world.wake(&entry),
-            _ => world.event(&entry, DomainEvent::Leave),
+            "wake" => world.resume(&entry),
+            _ => world.handle_event(&entry, DomainEvent::Leave),
         }
         Ok(String::new())
     }
@@ -131,13 +132,13 @@
     /// `store down|up|lost-answers`
     fn store(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
-        let word = args.next_pos().ok_or("a word is missing")?.to_owned();
+        let state = args.next_pos().ok_or("a store state is missing")?.to_owned();
         args.reject_next()?;
-        let fault = match word.as_str() {
+        let fault = match state.as_str() {
             "up" => StoreFault::None,
             "down" => StoreFault::Down,
             "lost-answers" => StoreFault::LostAnswers,
-            other => return Err(format!("store {other}").into()),
+            other => return Err(format!("unknown store state {other}").into()),
         };
         self.world()?.store.set_fault(fault);
         Ok(String::new())
@@ -146,12 +147,12 @@
     /// `cut domain=a`, `cut worker=a-w0`, `cut entry=a0` (from the store), `heal`
     fn cut(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
-        let domain: Option<String> = lookup(&mut args, "domain")?;
-        let worker: Option<String> = lookup(&mut args, "worker")?;
-        let entry: Option<String> = lookup(&mut args, "entry")?;
+        let domain: Option<String> = take_argument(&mut args, "domain")?;
+        let worker: Option<String> = take_argument(&mut args, "worker")?;
+        let entry: Option<String> = take_argument(&mut args, "entry")?;
         args.reject_next()?;
         let world = self.world()?;
-        world.cut.extend(domain.map(|name| name.as_str().into()));
+        world.cut_domains.extend(domain.map(|name| name.as_str().into()));
         world.cut_workers.extend(worker.map(|name| name.as_str().into()));
         world.cut_from_store.extend(entry.map(|name| name.as_str().into()));
         Ok(String::new())
@@ -159,7 +160,7 @@
 
     fn heal(&mut self) -> Outcome {
         let world = self.world()?;
-        world.cut.clear();
+        world.cut_domains.clear();
         world.cut_workers.clear();
         world.cut_from_store.clear();
         Ok(String::new())
@@ -169,12 +170,12 @@
     fn worker(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
         let id = args.next_pos().ok_or("a worker is missing")?.to_owned();
-        let word = args.next_pos().ok_or("a word is missing")?.to_owned();
+        let state = args.next_pos().ok_or("a worker state is missing")?.to_owned();
         args.reject_next()?;
         let world = self.world()?;
         let now = world.now;
         let model = world.workers.get_mut(id.as_str()).ok_or("no such worker")?;
-        match word.as_str() {
+        match state.as_str() {
             "restart" => model.restart(now),
             "fails" => model.set_fails_everything(true),
             "works" => model.set_fails_everything(false),
@@ -186,7 +187,7 @@
                 world.cut_workers.insert(id.as_str().into());
                 world.vms.retain(|vm| vm.id != id);
             }
-            other => return Err(format!("worker {other}").into()),
+            other => return Err(format!("unknown worker state {other}").into()),
         }
         Ok(String::new())
     }
@@ -197,8 +198,8 @@
     fn plan(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
         let name = args.next_pos().ok_or("a name is missing")?.to_owned();
-        let at: String = lookup(&mut args, "at")?.unwrap_or("a0".to_owned());
-        let withdraw: Option<String> = lookup(&mut args, "withdraw")?;
+        let at: String = take_argument(&mut args, "at")?.unwrap_or("a0".to_owned());
+        let withdraw: Option<String> = take_argument(&mut args, "withdraw")?;
         let request = match withdraw {
             Some(service) => PlanRequest::Withdraw(service.as_str().into()),
             None => PlanRequest::Accept(Box::new(read_intent(&mut args)?)),
@@ -218,7 +219,7 @@
     fn confirm(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
         let name = args.next_pos().ok_or("a name is missing")?.to_owned();
-        let at: String = lookup(&mut args, "at")?.unwrap_or("a0".to_owned());
+        let at: String = take_argument(&mut args, "at")?.unwrap_or("a0".to_owned());
         args.reject_next()?;
         let plan = self.plans.get(&name).ok_or("no such plan")?.clone();
         let answer = self.ask(&at, ClientCall::Confirm(Box::new(plan)))?;
@@ -232,21 +233,22 @@
         })
     }
 
-    /// `submit ws/j1 at=a0 intent=ws/x count=2 command="run 100"`; with `times=50` many jobs
+    /// `submit ws/j1 at=a0 intent=ws/x count=2 command="run 100"`; with `times=50`, 50 jobs without waiting
+    /// for the answers
     fn submit(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
         let id = args.next_pos().ok_or("a name is missing")?.to_owned();
-        let at: String = lookup(&mut args, "at")?.unwrap_or("a0".to_owned());
-        let intent: String = lookup(&mut args, "intent")?.ok_or("intent is missing")?;
-        let times: Option<u32> = lookup(&mut args, "times")?;
-        let count = lookup(&mut args, "count")?;
-        let words: Option<String> = lookup(&mut args, "command")?;
+        let at: String = take_argument(&mut args, "at")?.unwrap_or("a0".to_owned());
+        let intent: String = take_argument(&mut args, "intent")?.ok_or("intent is missing")?;
+        let times: Option<u32> = take_argument(&mut args, "times")?;
+        let count = take_argument(&mut args, "count")?;
+        let command_text: Option<String> = take_argument(&mut args, "command")?;
         args.reject_next()?;
         let request = |id: &str| JobRequest {
             id: id.into(),
             intent: intent.as_str().into(),
             count,
-            command: words.clone(),
+            command: command_text.clone(),
         };
         let Some(times) = times else {
             let answer = self.ask(&at, ClientCall::Submit(request(&id)))?;
@@ -260,12 +262,12 @@
         Ok(String::new())
     }
 
-    /// `job ws/j1 at=a0`, `cancel ws/j1 at=a0`; with `times=50` many jobs are cancelled
+    /// `job ws/j1 at=a0`, `cancel ws/j1 at=a0`; with `times=50` for 50 jobs
     fn job(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
         let id = args.next_pos().ok_or("a name is missing")?.to_owned();
-        let at: String = lookup(&mut args, "at")?.unwrap_or("a0".to_owned());
-        let times: Option<u32> = lookup(&mut args, "times")?;
+        let at: String = take_argument(&mut args, "at")?.unwrap_or("a0".to_owned());
+        let times: Option<u32> = take_argument(&mut args, "times")?;
         args.reject_next()?;
         let call = |id: &str| match command.name.as_str() {
             "cancel" => ClientCall::Cancel(id.into()),
@@ -293,14 +295,14 @@
     /// `key reserve k1 at=a0 holder=h digest=d`, `key complete k1 at=a0 holder=h state=answered`
     fn key(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
-        let word = args.next_pos().ok_or("a word is missing")?.to_owned();
+        let action = args.next_pos().ok_or("a key action is missing")?.to_owned();
         let id = args.next_pos().ok_or("a key is missing")?.to_owned();
-        let at: String = lookup(&mut args, "at")?.unwrap_or("a0".to_owned());
-        let holder: String = lookup(&mut args, "holder")?.unwrap_or("h".to_owned());
-        let digest: String = lookup(&mut args, "digest")?.unwrap_or("d".to_owned());
-        let state: Option<String> = lookup(&mut args, "state")?;
+        let at: String = take_argument(&mut args, "at")?.unwrap_or("a0".to_owned());
+        let holder: String = take_argument(&mut args, "holder")?.unwrap_or("h".to_owned());
+        let digest: String = take_argument(&mut args, "digest")?.unwrap_or("d".to_owned());
+        let state: Option<String> = take_argument(&mut args, "state")?;
         args.reject_next()?;
-        let call = match (word.as_str(), state.as_deref()) {
+        let call = match (action.as_str(), state.as_deref()) {
             ("reserve", _) => ClientCall::ReserveKey { id, digest, holder },
             (_, Some("not-run")) => ClientCall::CompleteKey { id, holder, state: KeyState::NotRun },
             _ => {
@@ -317,29 +319,29 @@
         })
     }
 
-    /// `requests a0 count=20 deadline=1s`: requests of a caller to the router of an entry
+    /// `requests a0 count=20 deadline=1s`: sends requests to the router of an entry
     fn requests(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
         let at = self.entry(args.next_pos().ok_or("an entry is missing")?)?;
-        let count: u64 = lookup(&mut args, "count")?.unwrap_or(1);
-        let deadline: String = lookup(&mut args, "deadline")?.unwrap_or("10s".to_owned());
+        let count: u64 = take_argument(&mut args, "count")?.unwrap_or(1);
+        let deadline: String = take_argument(&mut args, "deadline")?.unwrap_or("10s".to_owned());
         args.reject_next()?;
         let first = self.requests;
         self.requests += count;
-        let deadline = millis(&deadline)?;
+        let deadline = parse_duration(&deadline)?;
         let world = self.world()?;
         let now = world.now;
         let entry = world.entries.get_mut(&at).ok_or("no such entry")?;
         let (mut sent, mut rejected) = (0, 0);
         for id in first..first + count {
-            let ticket = SlotRequest {
+            let request = SlotRequest {
                 id,
                 service: "ws/svc".into(),
                 workspace: "ws".into(),
                 rank: 0,
                 deadline: now + deadline,
             };
-            for action in entry.router.route_request(now, ticket) {
+            for action in entry.router.route_request(now, request) {
                 match action {
                     kelplink::RouteAction::Send(..) => sent += 1,
                     kelplink::RouteAction::Reject(..) => rejected += 1,
@@ -354,11 +356,12 @@
     fn answered(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
         let at = self.entry(args.next_pos().ok_or("an entry is missing")?)?;
-        let upstream: String = lookup(&mut args, "upstream")?.ok_or("upstream is missing")?;
-        let count: u32 = lookup(&mut args, "count")?.unwrap_or(1);
-        let word: Option<String> = lookup(&mut args, "outcome")?;
+        let upstream: String =
+            take_argument(&mut args, "upstream")?.ok_or("upstream is missing")?;
+        let count: u32 = take_argument(&mut args, "count")?.unwrap_or(1);
+        let outcome: Option<String> = take_argument(&mut args, "outcome")?;
         args.reject_next()?;
-        let outcome = match word.as_deref() {
+        let outcome = match outcome.as_deref() {
             Some("failed") => RouteOutcome::Failed,
             _ => RouteOutcome::Answered,
         };
@@ -372,7 +375,7 @@
         Ok(format!("{actions} actions, {} in use\n", entry.router.in_use()))
     }
 
-    /// Slots that each entry may be using.
+    /// Slots that each entry may be using, by upstream.
     fn slots(&mut self) -> Outcome {
         let world = self.world()?;
         let now = world.now;
@@ -392,7 +395,7 @@
         Ok(leaders.into_iter().map(line).collect())
     }
 
-    /// How many entries lead each failure domain, whichever they are.
+    /// Number of entries that lead, by failure domain.
     fn leader_count(&mut self) -> Outcome {
         let leaders = self.world()?.leaders();
         Ok(leaders.into_iter().map(|(domain, all)| format!("{domain}: {}\n", all.len())).collect())
@@ -406,14 +409,14 @@
         Ok(world.entries.iter().map(line).collect())
     }
 
-    /// Number of tasks that run, by worker.
+    /// Number of running tasks, by worker.
     fn running(&mut self) -> Outcome {
         let world = self.world()?;
         let busy = world.workers.iter().filter(|(_, worker)| worker.running() > 0);
         Ok(busy.map(|(id, worker)| format!("{id} {}\n", worker.running())).collect())
     }
 
-    /// How often each task was begun, over all workers, and how often in all.
+    /// How many times each task of a job was started, over all workers.
     fn runs(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
         let id: JobId = args.next_pos().ok_or("a job is missing")?.into();
@@ -432,49 +435,49 @@
 }
 
 fn read_intent(args: &mut ArgumentConsumer<'_>) -> std::result::Result<IntentSpec, Box<dyn Error>> {
-    let service: String = lookup(args, "intent")?.ok_or("intent is missing")?;
-    let (workspace, name) = service.split_once('/').ok_or("intent=WORKSPACE/NAME")?;
-    let cores: f64 = lookup(args, "cores")?.unwrap_or(1.0);
-    let memory: u32 = lookup(args, "memory")?.unwrap_or(1_000);
-    let accelerators: u32 = lookup(args, "accelerators")?.unwrap_or(0);
-    let word = |args: &mut ArgumentConsumer<'_>, key: &str| {
-        lookup::<String>(args, key).map(Option::unwrap_or_default)
+    let service: String = take_argument(args, "intent")?.ok_or("intent is missing")?;
+    let (workspace, name) = service.split_once('/').ok_or("expected intent=WORKSPACE/NAME")?;
+    let cores: f64 = take_argument(args, "cores")?.unwrap_or(1.0);
+    let memory: u32 = take_argument(args, "memory")?.unwrap_or(1_000);
+    let accelerators: u32 = take_argument(args, "accelerators")?.unwrap_or(0);
+    let text = |args: &mut ArgumentConsumer<'_>, key: &str| {
+        take_argument::<String>(args, key).map(Option::unwrap_or_default)
     };
-    let kind = match word(args, "kind")?.as_str() {
+    let kind = match text(args, "kind")?.as_str() {
         "service" => JobKind::Service,
         "all-at-once" => JobKind::AllAtOnce,
         _ => JobKind::Batch,
     };
-    let urgency = match word(args, "urgency")?.as_str() {
+    let urgency = match text(args, "urgency")?.as_str() {
         "now" => Urgency::Now,
         _ => Urgency::Soon,
     };
-    let cut_off = match word(args, "cut_off")?.as_str() {
+    let cut_off = match text(args, "cut_off")?.as_str() {
         "move" => CutOffRule::Move,
         _ => CutOffRule::Stay,
     };
-    let spread = match word(args, "spread")?.as_str() {
+    let spread = match text(args, "spread")?.as_str() {
         "rack" => SpreadRule::Rack,
         "failure-domain" => SpreadRule::FailureDomain,
         _ => SpreadRule::None,
     };
-    let run = word(args, "run")?;
-    let quota: Option<u32> = lookup(args, "quota")?;
-    let domain: Option<String> = lookup(args, "domain")?;
+    let run = text(args, "run")?;
+    let quota: Option<u32> = take_argument(args, "quota")?;
+    let domain: Option<String> = take_argument(args, "domain")?;
     Ok(IntentSpec {
         workspace: workspace.into(),
         name: name.into(),
         kind,
         need: ResourceVector::new((cores * 1_000.0) as u32, memory, accelerators),
-        count: lookup(args, "count")?.unwrap_or(0),
+        count: take_argument(args, "count")?.unwrap_or(0),
         urgency,
-        idempotent: lookup(args, "idempotent")?.unwrap_or(true),
+        idempotent: take_argument(args, "idempotent")?.unwrap_or(true),
         spread,
         cut_off,
         domain: domain.map(|domain| domain.as_str().into()),
-        run_time: if run.is_empty() { None } else { Some(millis(&run)?) },
+        run_time: if run.is_empty() { None } else { Some(parse_duration(&run)?) },
         quota: quota.map(|cores| ResourceVector::new(cores * 1_000, 1_000_000, 100)),
-        command: word(args, "command")?,
+        command: text(args, "command")?,
     })
 }
 
@@ -494,7 +497,7 @@
 fn describe_answer(answer: &ClientAnswer) -> String {
     match answer {
         ClientAnswer::Job(view) => describe_job(view),
-        ClientAnswer::Refused(CallRefusal::Impossible(why)) => format!("impossible: {why}\n"),
+        ClientAnswer::Refused(CallRefusal::Impossible(reason)) => format!("impossible: {reason}\n"),
         ClientAnswer::Refused(refusal) => format!("refused: {refusal:?}\n"),
         other => format!("{other:?}\n"),
     }
@@ -531,8 +534,8 @@
     fn run(&mut self, command: &Command, _: &Context) -> Outcome {
         match command.name.as_str() {
             "cluster" => self.cluster(command),
-            "run" => self.run_time(command),
-            "kill" | "start" | "pause" | "wake" | "leave" => self.on_entry(command),
+            "run" => self.advance_time(command),
+            "kill" | "start" | "pause" | "wake" | "leave" => self.change_entry(command),
             "store" => self.store(command),
             "cut" => self.cut(command),
             "heal" => self.heal(),
@@ -559,8 +562,8 @@
 fn scenarios() {
     let _ = env_logger::Builder::from_env("KELPLINK_LOG").format_timestamp(None).try_init();
     let mut paths: Vec<_> = std::fs::read_dir("tests/scenarios")
-        .expect("the folder of scenarios")
-        .map(|entry| entry.expect("a scenario").path())
+        .expect("cannot read tests/scenarios")
+        .map(|entry| entry.expect("cannot read an entry of tests/scenarios").path())
         .collect();
     paths.sort();
     expect_that!(paths.len(), gt(0));
--- a/tests/decisions/world.rs
+++ b/tests/decisions/world.rs
@@ -1,4 +1,5 @@
-//! Decision cores of several entries with small fakes at their interfaces and faulty delivery.
+//! Simulation of several entries: their controllers, models of the store and the workers, and message
+//! delivery with faults.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -15,53 +16,53 @@
 use rand::{RngExt, SeedableRng};
 use tokio::time::Instant;
 
-/// Time between two ticks.
+/// Simulated time between two ticks.
 const STEP: Duration = Duration::from_millis(25);
-/// Slots of each upstream.
+/// Number of slots of each upstream.
 const SLOTS: u32 = 8;
-/// Time of day at the start.
-const UNIX: u64 = 1_800_000_000_000;
+/// Time of day at the start, in milliseconds since the Unix epoch.
+const START_UNIX_MS: u64 = 1_800_000_000_000;
 
-/// How messages fare.
+/// Faults of message delivery.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DeliveryFaults {
-    /// Chance that a message is lost.
+    /// Probability that a message is lost.
     pub(crate) lost: f64,
-    /// Chance that a message comes up to `late_by` late.
+    /// Probability that a message is delayed by up to `late_by`.
     pub(crate) late: f64,
-    /// Chance that a message to a peer comes twice.
+    /// Probability that a message to a peer is delivered twice.
     pub(crate) twice: f64,
-    /// Longest lateness.
+    /// Maximum delay.
     pub(crate) late_by: Duration,
 }
 
 #[derive(Debug)]
-enum Parcel {
+enum Delivery {
     Event(EntryId, u64, Box<DomainEvent>),
     Store(EntryId, u64, StoreOwner, u64, StoreRequest, bool),
     Worker(EntryId, u64, WorkerId, u64, Box<WorkerRequest>, bool),
 }
 
-struct Queued(Instant, u64, Parcel);
+struct QueuedDelivery(Instant, u64, Delivery);
 
-impl PartialEq for Queued {
+impl PartialEq for QueuedDelivery {
     fn eq(&self, other: &Self) -> bool {
         (self.0, self.1) == (other.0, other.1)
     }
 }
-impl Eq for Queued {}
-impl PartialOrd for Queued {
+impl Eq for QueuedDelivery {}
+impl PartialOrd for QueuedDelivery {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Queued {
+impl Ord for QueuedDelivery {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.0, self.1).cmp(&(other.0, other.1))
     }
 }
 
-/// One entry: its decision cores.
+/// One entry: its controllers and its router.
 pub(crate) struct Entry {
     pub(crate) controller: DomainController,
     pub(crate) router: RequestRouter,
@@ -70,10 +71,10 @@
     next_report: Instant,
     next_vms: Instant,
     seen_head: u64,
-    held: Vec<Parcel>,
+    queued_deliveries: Vec<Delivery>,
 }
 
-/// All that is played.
+/// The simulated cluster.
 pub(crate) struct World {
     pub(crate) now: Instant,
     pub(crate) rng: StdRng,
@@ -81,26 +82,26 @@
     pub(crate) entries: BTreeMap<EntryId, Entry>,
     pub(crate) workers: BTreeMap<WorkerId, WorkerModel>,
     pub(crate) faults: DeliveryFaults,
-    /// Groups that are cut off from all others and from the platform.
-    pub(crate) cut: BTreeSet<DomainId>,
-    /// Workers that nobody reaches.
+    /// Failure domains that are cut off from all others and from the platform.
+    pub(crate) cut_domains: BTreeSet<DomainId>,
+    /// Workers that no entry can reach.
     pub(crate) cut_workers: BTreeSet<WorkerId>,
-    /// Entries that the store does not hear.
+    /// Entries that cannot reach the store.
     pub(crate) cut_from_store: BTreeSet<EntryId>,
     pub(crate) vms: Vec<VmRecord>,
     pub(crate) answers: BTreeMap<u64, ClientAnswer>,
-    pub(crate) once_jobs: BTreeSet<JobId>,
+    pub(crate) non_idempotent_jobs: BTreeSet<JobId>,
     pub(crate) quotas: BTreeMap<String, ResourceVector>,
     pub(crate) steps: u64,
     domains: BTreeMap<EntryId, DomainId>,
     worker_domains: BTreeMap<WorkerId, DomainId>,
-    queue: BinaryHeap<Reverse<Queued>>,
+    queue: BinaryHeap<Reverse<QueuedDelivery>>,
     sequence: u64,
     next_call: u64,
-    boots: u64,
+    boot_count: u64,
     start: Instant,
     revisions: BTreeMap<EntryId, Revision>,
-    seen_runs: BTreeMap<WorkerId, usize>,
+    checked_runs: BTreeMap<WorkerId, usize>,
     run_counts: BTreeMap<TaskId, u32>,
 }
 
@@ -114,12 +115,12 @@
             entries: BTreeMap::new(),
             workers: BTreeMap::new(),
             faults: DeliveryFaults::default(),
-            cut: BTreeSet::new(),
+            cut_domains: BTreeSet::new(),
             cut_workers: BTreeSet::new(),
             cut_from_store: BTreeSet::new(),
             vms: Vec::new(),
             answers: BTreeMap::new(),
-            once_jobs: BTreeSet::new(),
+            non_idempotent_jobs: BTreeSet::new(),
             quotas: BTreeMap::new(),
             steps: 0,
             domains: BTreeMap::new(),
@@ -127,10 +128,10 @@
             queue: BinaryHeap::new(),
             sequence: 0,
             next_call: 0,
-            boots: 0,
+            boot_count: 0,
             start: now,
             revisions: BTreeMap::new(),
-            seen_runs: BTreeMap::new(),
+            checked_runs: BTreeMap::new(),
             run_counts: BTreeMap::new(),
         };
         for domain in ["a", "b", "c"].iter().take(domains) {
@@ -183,37 +184,37 @@
         self.domains.values().cloned().collect::<BTreeSet<_>>().into_iter().collect()
     }
 
-    /// Starts an entry that does not run.
+    /// Starts an entry that is not running.
     pub(crate) fn start(&mut self, entry: &EntryId) {
-        self.boots += 1;
+        self.boot_count += 1;
         let domain = self.domains[entry].clone();
         let peers = self.domains.iter().filter(|(other, _)| *other != entry);
         let identity = EntryIdentity {
             entry: entry.clone(),
             domain,
-            boot: self.boots,
+            boot: self.boot_count,
             peers: peers.map(|(other, domain)| (other.clone(), domain.clone())).collect(),
             timing: TimingSettings::default(),
         };
-        let unix = UNIX + u64::try_from((self.now - self.start).as_millis()).unwrap();
+        let unix = START_UNIX_MS + u64::try_from((self.now - self.start).as_millis()).unwrap();
         let timing = identity.timing;
         self.entries.insert(
             entry.clone(),
             Entry {
                 controller: DomainController::new(self.now, unix, identity),
-                router: RequestRouter::new(entry.clone(), self.boots, 64, timing),
+                router: RequestRouter::new(entry.clone(), self.boot_count, 64, timing),
                 paused: false,
-                boot: self.boots,
+                boot: self.boot_count,
                 next_report: self.now,
                 next_vms: self.now,
                 seen_head: 0,
-                held: Vec::new(),
+                queued_deliveries: Vec::new(),
             },
         );
         self.revisions.remove(entry);
     }
 
-    /// Kills an entry; its port refuses connections from then on.
+    /// Kills an entry. The entries that can reach it see its port refuse connections.
     pub(crate) fn kill(&mut self, entry: &EntryId) {
         self.entries.remove(entry);
         let domain = self.domains[entry].clone();
@@ -222,37 +223,37 @@
             if self.reaches(&self.domains[&other], &domain) {
                 let boot = self.entries[&other].boot;
                 let event = DomainEvent::PeerGone(entry.clone());
-                self.send(Duration::from_millis(3), Parcel::Event(other, boot, Box::new(event)));
+                self.send(Duration::from_millis(3), Delivery::Event(other, boot, Box::new(event)));
             }
         }
     }
 
     fn reaches(&self, from: &DomainId, to: &DomainId) -> bool {
-        from == to || !(self.cut.contains(from) || self.cut.contains(to))
+        from == to || !(self.cut_domains.contains(from) || self.cut_domains.contains(to))
     }
 
-    fn store_reaches(&self, entry: &EntryId) -> bool {
-        !self.cut.contains(&self.domains[entry]) && !self.cut_from_store.contains(entry)
+    fn reaches_store(&self, entry: &EntryId) -> bool {
+        !self.cut_domains.contains(&self.domains[entry]) && !self.cut_from_store.contains(entry)
     }
 
-    fn send(&mut self, delay: Duration, parcel: Parcel) {
+    fn send(&mut self, delay: Duration, delivery: Delivery) {
         self.sequence += 1;
-        self.queue.push(Reverse(Queued(self.now + delay, self.sequence, parcel)));
+        self.queue.push(Reverse(QueuedDelivery(self.now + delay, self.sequence, delivery)));
     }
 
-    fn chance(&mut self, probability: f64) -> bool {
+    fn random_chance(&mut self, probability: f64) -> bool {
         probability > 0.0 && self.rng.random_bool(probability)
     }
 
     fn delay(&mut self) -> Duration {
         let base = Duration::from_micros(self.rng.random_range(500..3_000));
-        match self.chance(self.faults.late) {
+        match self.random_chance(self.faults.late) {
             true => base + self.faults.late_by.mul_f64(self.rng.random_range(0.0..1.0)),
             false => base,
         }
     }
 
-    /// Lets time pass.
+    /// Advances the simulated time.
     pub(crate) fn run(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
@@ -263,11 +264,11 @@
     fn step(&mut self) {
         let next = self.now + STEP;
         while self.queue.peek().is_some_and(|Reverse(queued)| queued.0 <= next) {
-            let Some(Reverse(Queued(at, _, parcel))) = self.queue.pop() else {
+            let Some(Reverse(QueuedDelivery(at, _, delivery))) = self.queue.pop() else {
                 break;
             };
             self.now = self.now.max(at);
-            self.deliver(parcel);
+            self.deliver(delivery);
         }
         self.now = next;
         self.steps += 1;
@@ -282,7 +283,7 @@
 
     fn tick_entry(&mut self, entry: &EntryId) {
         let now = self.now;
-        let reaches = self.store_reaches(entry) && self.store.fault() != StoreFault::Down;
+        let reaches = self.reaches_store(entry) && self.store.fault() != StoreFault::Down;
         let head = self.store.get("config/head").cloned();
         let vms = self.vms.clone();
         let Some(state) = self.entries.get_mut(entry).filter(|state| !state.paused) else {
@@ -305,26 +306,26 @@
         }
         state.router.tick(now);
         for event in events {
-            self.event(entry, event);
+            self.handle_event(entry, event);
         }
     }
 
-    fn deliver(&mut self, parcel: Parcel) {
-        match parcel {
-            Parcel::Event(entry, boot, event) => self.deliver_event(entry, boot, event),
-            Parcel::Store(entry, boot, owner, id, request, answered) => {
-                let outcome = match self.store_reaches(&entry) {
+    fn deliver(&mut self, delivery: Delivery) {
+        match delivery {
+            Delivery::Event(entry, boot, event) => self.deliver_event(entry, boot, event),
+            Delivery::Store(entry, boot, owner, id, request, answered) => {
+                let outcome = match self.reaches_store(&entry) {
                     true => self.store.call(&request),
                     false => return,
                 };
                 if answered {
                     let event = DomainEvent::Store(owner, id, outcome);
                     let delay = self.delay();
-                    self.send(delay, Parcel::Event(entry, boot, Box::new(event)));
+                    self.send(delay, Delivery::Event(entry, boot, Box::new(event)));
                 }
             }
-            Parcel::Worker(entry, boot, worker, id, request, answered) => {
-                if !self.worker_reached(&entry, &worker) {
+            Delivery::Worker(entry, boot, worker, id, request, answered) => {
+                if !self.reaches_worker(&entry, &worker) {
                     return;
                 }
                 let now = self.now;
@@ -335,44 +336,46 @@
                 if answered {
                     let event = DomainEvent::Worker(worker, id, Some(reply));
                     let delay = self.delay();
-                    self.send(delay, Parcel::Event(entry, boot, Box::new(event)));
+                    self.send(delay, Delivery::Event(entry, boot, Box::new(event)));
                 }
             }
         }
     }
 
-    fn worker_reached(&self, entry: &EntryId, worker: &WorkerId) -> bool {
+    fn reaches_worker(&self, entry: &EntryId, worker: &WorkerId) -> bool {
         let domain = &self.worker_domains[worker];
         self.reaches(&self.domains[entry], domain) && !self.cut_workers.contains(worker)
     }
 
     fn deliver_event(&mut self, entry: EntryId, boot: u64, event: Box<DomainEvent>) {
         match self.entries.get_mut(&entry) {
-            Some(state) if state.paused => state.held.push(Parcel::Event(entry, boot, event)),
-            Some(state) if state.boot == boot || boot == 0 => self.event(&entry, *event),
+            Some(state) if state.paused => {
+                state.queued_deliveries.push(Delivery::Event(entry, boot, event))
+            }
+            Some(state) if state.boot == boot || boot == 0 => self.handle_event(&entry, *event),
             _ => {}
         }
     }
 
-    /// Pauses an entry: it does nothing and what comes for it waits.
+    /// Pauses an entry: it processes nothing, and its events are queued.
     pub(crate) fn pause(&mut self, entry: &EntryId) {
         if let Some(state) = self.entries.get_mut(entry) {
             state.paused = true;
         }
     }
 
-    pub(crate) fn wake(&mut self, entry: &EntryId) {
+    pub(crate) fn resume(&mut self, entry: &EntryId) {
         let Some(state) = self.entries.get_mut(entry) else {
             return;
         };
         state.paused = false;
-        for parcel in std::mem::take(&mut state.held) {
-            self.deliver(parcel);
+        for delivery in std::mem::take(&mut state.queued_deliveries) {
+            self.deliver(delivery);
         }
     }
 
-    /// Hands an event to an entry and carries out what follows.
-    pub(crate) fn event(&mut self, entry: &EntryId, event: DomainEvent) {
+    /// Passes an event to an entry and executes the resulting actions.
+    pub(crate) fn handle_event(&mut self, entry: &EntryId, event: DomainEvent) {
         let now = self.now;
         let Some(state) = self.entries.get_mut(entry) else {
             return;
@@ -380,11 +383,11 @@
         let boot = state.boot;
         let actions = state.controller.handle(now, event);
         for action in actions {
-            self.carry_out(entry, boot, action);
+            self.execute(entry, boot, action);
         }
     }
 
-    fn carry_out(&mut self, entry: &EntryId, boot: u64, action: DomainAction) {
+    fn execute(&mut self, entry: &EntryId, boot: u64, action: DomainAction) {
         match action {
             DomainAction::Store(owner, id, request) => {
                 self.call_store(entry, boot, owner, id, request)
@@ -392,7 +395,7 @@
             DomainAction::Worker { worker, id, request, .. } => {
                 self.call_worker(entry, boot, worker, id, request);
             }
-            DomainAction::Peer(peer, message) => self.tell_peer(entry, &peer, message),
+            DomainAction::Peer(peer, message) => self.send_peer(entry, &peer, message),
             DomainAction::Answer(id, answer) => {
                 self.answers.insert(id, answer);
             }
@@ -418,23 +421,24 @@
             true => StoreOutcome::Unknown,
             false => StoreOutcome::Unavailable,
         };
-        if !self.store_reaches(entry) || self.store.fault() == StoreFault::Down {
+        if !self.reaches_store(entry) || self.store.fault() == StoreFault::Down {
             let event = DomainEvent::Store(owner, id, StoreOutcome::Unavailable);
-            let parcel = Parcel::Event(entry.clone(), boot, Box::new(event));
-            return self.send(Duration::from_millis(5), parcel);
+            let delivery = Delivery::Event(entry.clone(), boot, Box::new(event));
+            return self.send(Duration::from_millis(5), delivery);
         }
-        let loses = swap && self.store.fault() == StoreFault::LostAnswers;
-        let lost = self.chance(self.faults.lost) || loses;
+        let store_loses_answer = swap && self.store.fault() == StoreFault::LostAnswers;
+        let lost = self.random_chance(self.faults.lost) || store_loses_answer;
         let answered = !lost;
         let delay = self.delay();
         let late = delay > Duration::from_millis(900);
         let event = DomainEvent::Store(owner, id, failure);
-        let parcel = Parcel::Event(entry.clone(), boot, Box::new(event));
-        self.send(Duration::from_millis(1_000), parcel);
-        let arrives = !lost || loses || self.rng.random_bool(0.5);
+        let delivery = Delivery::Event(entry.clone(), boot, Box::new(event));
+        self.send(Duration::from_millis(1_000), delivery);
+        let arrives = !lost || store_loses_answer || self.rng.random_bool(0.5);
         if arrives {
-            let parcel = Parcel::Store(entry.clone(), boot, owner, id, request, answered && !late);
-            self.send(delay, parcel);
+            let delivery =
+                Delivery::Store(entry.clone(), boot, owner, id, request, answered && !late);
+            self.send(delay, delivery);
         }
     }
 
@@ -446,43 +450,43 @@
         id: u64,
         request: WorkerRequest,
     ) {
-        let reached = self.worker_reached(entry, &worker);
-        let lost = !reached || self.chance(self.faults.lost);
+        let is_reachable = self.reaches_worker(entry, &worker);
+        let lost = !is_reachable || self.random_chance(self.faults.lost);
         let delay = self.delay();
         let late = delay > Duration::from_millis(1_400);
         let event = DomainEvent::Worker(worker.clone(), id, None);
-        let parcel = Parcel::Event(entry.clone(), boot, Box::new(event));
-        self.send(Duration::from_millis(1_500), parcel);
-        if reached && (!lost || self.rng.random_bool(0.5)) {
+        let delivery = Delivery::Event(entry.clone(), boot, Box::new(event));
+        self.send(Duration::from_millis(1_500), delivery);
+        if is_reachable && (!lost || self.rng.random_bool(0.5)) {
             let answered = !lost && !late;
             let request = Box::new(request);
-            let parcel = Parcel::Worker(entry.clone(), boot, worker, id, request, answered);
-            self.send(delay, parcel);
+            let delivery = Delivery::Worker(entry.clone(), boot, worker, id, request, answered);
+            self.send(delay, delivery);
         }
     }
 
-    fn tell_peer(&mut self, from: &EntryId, to: &EntryId, message: PeerMessage) {
-        let reached = self.reaches(&self.domains[from], &self.domains[to]);
-        if !reached || self.chance(self.faults.lost) {
+    fn send_peer(&mut self, from: &EntryId, to: &EntryId, message: PeerMessage) {
+        let is_reachable = self.reaches(&self.domains[from], &self.domains[to]);
+        if !is_reachable || self.random_chance(self.faults.lost) {
             return;
         }
-        let copies = if self.chance(self.faults.twice) { 2 } else { 1 };
+        let copies = if self.random_chance(self.faults.twice) { 2 } else { 1 };
         for _ in 0..copies {
             let delay = self.delay();
             let event = DomainEvent::Peer(from.clone(), message.clone());
-            self.send(delay, Parcel::Event(to.clone(), 0, Box::new(event)));
+            self.send(delay, Delivery::Event(to.clone(), 0, Box::new(event)));
         }
     }
 
-    /// Hands a client's call to an entry and gives its number.
+    /// Passes a client's call to an entry and returns the id of the call.
     pub(crate) fn call(&mut self, entry: &EntryId, call: ClientCall) -> u64 {
         self.next_call += 1;
         let id = self.next_call;
-        self.event(entry, DomainEvent::Call(id, call));
+        self.handle_event(entry, DomainEvent::Call(id, call));
         id
     }
 
-    /// Hands in a call and waits for its answer for at most `time`.
+    /// Makes a call and waits for its answer for at most `time`.
     pub(crate) fn ask(
         &mut self,
         entry: &EntryId,
@@ -497,13 +501,13 @@
         self.answers.remove(&id)
     }
 
-    /// Thousandths of a core that run in a failure domain.
+    /// Millicores in use in a failure domain.
     pub(crate) fn used_in(&self, domain: &DomainId) -> u32 {
         let own = self.workers.iter().filter(|(id, _)| self.worker_domains[*id] == *domain);
         own.map(|(_, worker)| worker.used().millicores).sum()
     }
 
-    /// Entries that lead, by failure domain.
+    /// Leaders by failure domain.
     pub(crate) fn leaders(&self) -> BTreeMap<DomainId, Vec<EntryId>> {
         let mut leaders: BTreeMap<DomainId, Vec<EntryId>> = BTreeMap::new();
         for domain in self.domains.values() {
@@ -516,7 +520,7 @@
         leaders
     }
 
-    /// State of the faults, for a reader of the log.
+    /// Describes the current faults and leaders, for the log.
     pub(crate) fn describe(&self) -> String {
         let down: Vec<_> = self.domains.keys().filter(|e| !self.entries.contains_key(*e)).collect();
         let paused: Vec<_> =
@@ -525,14 +529,14 @@
             "at {:?}: store {:?}, cut {:?} {:?} {:?}, down {down:?}, paused {paused:?}, leaders {:?}",
             self.now - self.start,
             self.store.fault(),
-            self.cut,
+            self.cut_domains,
             self.cut_workers,
             self.cut_from_store,
             self.leaders()
         )
     }
 
-    /// Checks all that must hold whatever happens.
+    /// Checks the invariants that hold under all faults.
     pub(crate) fn check(&mut self) {
         self.check_runs();
         self.check_slots();
@@ -542,12 +546,12 @@
 
     fn check_runs(&mut self) {
         for (id, worker) in &self.workers {
-            let seen = self.seen_runs.entry(id.clone()).or_default();
+            let seen = self.checked_runs.entry(id.clone()).or_default();
             for run in &worker.runs()[*seen..] {
-                log::info!("at {:?}: {id} begins {:?}", self.now - self.start, run.task);
+                log::info!("at {:?}: {id} starts {:?}", self.now - self.start, run.task);
                 let count = self.run_counts.entry(run.task.clone()).or_default();
                 *count += 1;
-                let once = self.once_jobs.contains(&run.task.0);
+                let once = self.non_idempotent_jobs.contains(&run.task.0);
                 assert!(!once || *count == 1, "{:?} is not idempotent and ran twice", run.task);
                 let elsewhere = self.workers.iter().filter(|(other, _)| *other != id);
                 for (other, model) in elsewhere {
@@ -570,7 +574,7 @@
             }
         }
         for (id, sum) in sums {
-            assert!(sum <= SLOTS, "{sum} of {SLOTS} slots of {id} are in reach");
+            assert!(sum <= SLOTS, "entries may use {sum} of the {SLOTS} slots of {id}");
         }
     }
 
@@ -578,7 +582,7 @@
         for (entry, state) in self.entries.iter().filter(|(_, state)| state.controller.ready()) {
             let revision = state.controller.revision();
             let last = self.revisions.entry(entry.clone()).or_default();
-            assert!(revision >= *last, "{entry} went back from revision {last} to {revision}");
+            assert!(revision >= *last, "revision of {entry} decreased from {last} to {revision}");
             *last = revision;
         }
     }
