--- a/src/domain/controller.rs
+++ b/src/domain/controller.rs
@@ -77,7 +77,7 @@
     pub(crate) quota: QuotaController,
     pub(crate) moves: MoveController,
     pub(crate) leader: Option<LeaderState>,
-    /// Copies of the ledger records, as sent to this follower by the leader of the domain.
+    /// Copies of the ledger records: as last sent by the leader, or kept from an own term as leader.
     pub(crate) warm_records: BTreeMap<String, LedgerRecord>,
     /// Upstreams in the list of the platform.
     pub(crate) listed_upstreams: Vec<UpstreamSpec>,
--- a/src/domain/jobs.rs
+++ b/src/domain/jobs.rs
@@ -566,8 +566,8 @@
             .filter(|record| match record {
                 LedgerRecord::Job(job) => {
                     let since = job.over_at.unwrap_or(job.spec.accepted);
-                    let old = since + ENDED_JOB_RETENTION_MS < unix;
-                    job.is_over() && old && !wanted.contains(&job.spec.id)
+                    let is_expired = since + ENDED_JOB_RETENTION_MS < unix;
+                    job.is_over() && is_expired && !wanted.contains(&job.spec.id)
                 }
                 LedgerRecord::Key(key) => key.accepted + KEY_RETENTION_MS < unix,
                 LedgerRecord::Taken { .. } | LedgerRecord::Gone(_) => false,
--- a/src/domain/moves.rs
+++ b/src/domain/moves.rs
@@ -67,13 +67,13 @@
     entry: EntryId,
     boot: u64,
     timing: TimingSettings,
-    others: Vec<DomainId>,
+    other_domains: Vec<DomainId>,
     /// Expiry of the hold from each other failure domain.
     holds: BTreeMap<DomainId, Instant>,
     /// Pending requests for a hold by sequence number: domain, its leader and time of the request.
     hold_requests: BTreeMap<u64, (DomainId, EntryId, Instant)>,
     next_hold_request: Instant,
-    seq: u64,
+    last_hold_seq: u64,
     leading_since: Instant,
     takeover: Option<TakeoverState>,
     takeover_retry_at: BTreeMap<DomainId, Instant>,
@@ -85,16 +85,17 @@
 
 impl MoveController {
     pub(crate) fn new(now: Instant, identity: &EntryIdentity) -> Self {
-        let others = identity.domains().into_iter().filter(|domain| *domain != identity.domain);
+        let other_domains =
+            identity.domains().into_iter().filter(|domain| *domain != identity.domain);
         Self {
             entry: identity.entry.clone(),
             boot: identity.boot,
             timing: identity.timing,
-            others: others.collect(),
+            other_domains: other_domains.collect(),
             holds: BTreeMap::new(),
             hold_requests: BTreeMap::new(),
             next_hold_request: now,
-            seq: 0,
+            last_hold_seq: 0,
             leading_since: now,
             takeover: None,
             takeover_retry_at: BTreeMap::new(),
@@ -113,10 +114,10 @@
 
     /// Time until which movable tasks may be started and renewed; `None` when they may not.
     pub(crate) fn movable_until(&self, now: Instant, deadline: Option<Instant>) -> Option<Instant> {
-        let holds_until = match self.others.is_empty() {
+        let holds_until = match self.other_domains.is_empty() {
             true => Some(now + self.timing.hold),
             false => {
-                let all = self.others.iter().map(|domain| self.holds.get(domain).copied());
+                let all = self.other_domains.iter().map(|domain| self.holds.get(domain).copied());
                 all.collect::<Option<Vec<_>>>().and_then(|all| all.into_iter().min())
             }
         };
@@ -174,13 +175,13 @@
         seq: u64,
     ) {
         let leads = self.leader.as_ref().is_some_and(|leader| leader.active);
-        let known = self.moves.others.contains(domain) && self.journal.open();
-        let taken = match self.journal.get(&taken_name(domain)) {
+        let ledger_known = self.moves.other_domains.contains(domain) && self.journal.open();
+        let taken_epoch = match self.journal.get(&taken_name(domain)) {
             Some(LedgerRecord::Taken { epoch, .. }) => *epoch,
             _ => 0,
         };
-        let free = epoch >= taken && !self.moves.is_taking_over(domain);
-        if leads && known && free && self.leadership.may_act(now) {
+        let not_taken_over = epoch >= taken_epoch && !self.moves.is_taking_over(domain);
+        if leads && ledger_known && not_taken_over && self.leadership.may_act(now) {
             self.send_peer(peer, PeerMessage::GrantHold { seq });
         }
     }
@@ -254,12 +255,12 @@
         self.moves.next_hold_request = now + HOLD_REQUEST_INTERVAL;
         let epoch = self.leadership.token().map_or(0, |token| token.epoch);
         self.moves.hold_requests.retain(|_, (_, _, at)| now < *at + HOLD_REQUEST_INTERVAL * 4);
-        for domain in self.moves.others.clone() {
+        for domain in self.moves.other_domains.clone() {
             let Some(peer) = self.peers.leader_of(now, &domain) else {
                 continue;
             };
-            self.moves.seq += 1;
-            let seq = self.moves.seq;
+            self.moves.last_hold_seq += 1;
+            let seq = self.moves.last_hold_seq;
             self.moves.hold_requests.insert(seq, (domain, peer.clone(), now));
             let own = self.identity.domain.clone();
             self.send_peer(&peer, PeerMessage::AskHold { domain: own, epoch, seq });
@@ -288,7 +289,7 @@
         let movable = self.config.current().intents.values();
         let any_movable = movable.into_iter().any(|intent| intent.spec.cut_off == CutOffRule::Move);
         let since = self.moves.leading_since;
-        let silent = self.moves.others.iter().find(|domain| {
+        let silent = self.moves.other_domains.iter().find(|domain| {
             let last_heartbeat =
                 self.peers.leader_last_heartbeat(domain).unwrap_or(since).max(since);
             let retry_due = self.moves.takeover_retry_at.get(*domain).is_none_or(|at| now >= *at);
--- a/src/domain/peers.rs
+++ b/src/domain/peers.rs
@@ -381,11 +381,11 @@
         if self.leader.is_some() || !is_followed {
             return;
         }
-        let next = match &self.peers.warm_position {
+        let is_next_group = match &self.peers.warm_position {
             Some((from, last)) => *from == token && seq == last + 1,
             None => false,
         };
-        if !whole && !next {
+        if !whole && !is_next_group {
             return self.send_peer(peer, PeerMessage::AskRecords);
         }
         if whole {
@@ -464,8 +464,9 @@
         report: &DemandReport,
     ) -> Option<crate::routing::ShareGrant> {
         let may_act = self.leadership.may_act(now);
-        let known = self.fleet.listed();
-        let leader = self.leader.as_mut().filter(|leader| leader.active && may_act && known)?;
+        let workers_listed = self.fleet.listed();
+        let leader =
+            self.leader.as_mut().filter(|leader| leader.active && may_act && workers_listed)?;
         leader.shares.report(now, report)
     }
 
--- a/src/domain/quota.rs
+++ b/src/domain/quota.rs
@@ -138,7 +138,8 @@
     domains: Vec<DomainId>,
     /// Parts that this failure domain may use, as last written by this leader.
     parts: BTreeMap<WorkspaceId, ResourceVector>,
-    /// Whether this leader has written the record; pending writes of earlier leaders then fail.
+    /// Whether this leader has written the record. Pending writes of earlier leaders then fail, as
+    /// the version of the record has changed.
     fenced: bool,
     demand: BTreeMap<WorkspaceId, ResourceVector>,
     retry_delay: Duration,
@@ -413,8 +414,8 @@
         }
         record.parts.retain(|_, parts| !parts.is_empty());
         record.wants.retain(|workspace, wants| quotas.contains_key(workspace) && !wants.is_empty());
-        let known = self.own_parts(&record) == self.quota.parts;
-        if record == before && self.quota.fenced && known {
+        let parts_unchanged = self.own_parts(&record) == self.quota.parts;
+        if record == before && self.quota.fenced && parts_unchanged {
             return self.apply_quota_parts();
         }
         self.quota.write_count += 1;
