--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: plans, acceptance, and how entries keep to the highest revision.
+//! The operators' configuration: plans, their acceptance, and the revisions that entries adopt.
 
 mod assignment;
 mod controller;
--- a/src/config/assignment.rs
+++ b/src/config/assignment.rs
@@ -1,10 +1,11 @@
-//! Which failure domain an intent, a job or a key belongs to.
+//! Assignment of intents, jobs and keys to failure domains.
 
 use crate::id::{DomainId, ServiceId};
 use crate::intent::{IntentSpec, JobKind, SpreadRule};
 
-/// The failure domain that a name belongs to: the one whose hash with it is highest. All entries
-/// agree on it without asking, and another domain added later takes over only its own part.
+/// Returns the failure domain that a name belongs to, by rendezvous hashing. All entries compute the
+/// same domain without communicating, and a domain that is added later takes over only its own part
+/// of the names.
 pub(crate) fn home_domain<'d>(name: &str, domains: &'d [DomainId]) -> Option<&'d DomainId> {
     domains.iter().max_by_key(|domain| {
         let mut hasher = blake3::Hasher::new();
@@ -15,7 +16,7 @@
     })
 }
 
-/// How many of an intent's tasks belong to `domain`.
+/// Returns how many of an intent's tasks belong to `domain`.
 pub(crate) fn assigned_count(spec: &IntentSpec, domain: &DomainId, domains: &[DomainId]) -> u32 {
     let service: ServiceId = spec.service();
     match (&spec.domain, spec.spread, spec.kind) {
@@ -29,14 +30,15 @@
     }
 }
 
-/// Splits evenly; the home domain and those after it take what is left over.
+/// Splits the tasks evenly; the home domain and the domains after it get one more until the remainder
+/// is used up.
 fn split_count(count: u32, name: &str, domain: &DomainId, domains: &[DomainId]) -> u32 {
-    let number = u32::try_from(domains.len()).unwrap_or(1).max(1);
-    let place = |wanted: &DomainId| {
+    let domain_count = u32::try_from(domains.len()).unwrap_or(1).max(1);
+    let index_of = |wanted: &DomainId| {
         let found = domains.iter().position(|other| other == wanted);
         u32::try_from(found.unwrap_or(0)).unwrap_or(0)
     };
-    let home = home_domain(name, domains).map_or(0, place);
-    let distance = (place(domain) + number - home) % number;
-    count / number + u32::from(distance < count % number)
+    let home = home_domain(name, domains).map_or(0, index_of);
+    let distance = (index_of(domain) + domain_count - home) % domain_count;
+    count / domain_count + u32::from(distance < count % domain_count)
 }
--- a/src/config/controller.rs
+++ b/src/config/controller.rs
@@ -1,4 +1,4 @@
-//! Accepts plans by compare-and-swap and spreads revisions among entries.
+//! Accepts plans by compare-and-swap in the store and distributes revisions among entries.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,14 +12,16 @@
 use crate::id::{CallId, DomainId, EntryId, KeyVersion, Revision};
 use crate::store::{StoreOutcome, StoreRequest, StoredValue};
 
-/// How long an entry that starts without the store listens to peers before it serves.
-const LEARN_TIME: Duration = Duration::from_secs(2);
-/// Pause before a call is repeated that the store did not answer.
+/// How long an entry that starts while the store is down learns the revision from its peers before it
+/// serves.
+const PEER_LEARN_TIME: Duration = Duration::from_secs(2);
+/// Pause before a call that the store did not answer is repeated.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Confirms that may wait for their turn.
-const MAX_WAITING: usize = 64;
-/// How long a confirm whose answer was lost is settled before its operator is told so.
-const SETTLE_TIME: Duration = Duration::from_secs(10);
+/// Maximum number of queued confirms.
+const MAX_QUEUED_CONFIRMS: usize = 64;
+/// How long the controller tries to find out the result of a confirm whose answer was lost, before the
+/// confirm is answered as unsettled.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Why a plan was not accepted.
 #[derive(Clone, Debug, PartialEq)]
@@ -28,30 +30,30 @@
 pub enum ConfirmRefusal {
     /// The plan was edited.
     NotGenuine,
-    /// The plan says itself that it cannot run.
+    /// The intent of the plan can never run.
     Impossible(String),
-    /// Another plan was accepted meanwhile; here is what would change now.
+    /// Another plan was accepted in the meantime; holds a new plan for the same request.
     Moved(Box<PlanDocument>),
     /// The store cannot be reached; nothing was accepted.
     StoreDown,
-    /// Too many confirms wait.
+    /// Too many confirms are queued.
     Busy,
-    /// No answer came from the store: the plan may be accepted yet. Ask for the status.
+    /// The store did not answer, so the plan may still be accepted. The status shows the result.
     Unsettled,
 }
 
-/// What the controller wants done or tells.
+/// Actions and results of the controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConfigOutput {
-    /// Make this call and bring the outcome back under the number.
+    /// Make this call to the store and pass its outcome to [`ConfigController::answer`] with the same id.
     Call(CallId, StoreRequest),
     /// A higher revision is in force.
     Adopted(Revision),
-    /// Send the configuration to a peer.
+    /// Send the configuration to this peer.
     Push(EntryId),
-    /// Ask a peer for its configuration.
+    /// Ask this peer for its configuration.
     Ask(EntryId),
-    /// Answer a confirm.
+    /// Answer the confirm with this call id.
     Confirmed(CallId, std::result::Result<Revision, ConfirmRefusal>),
 }
 
@@ -71,19 +73,19 @@
     Settle,
 }
 
-/// Keeps the configuration of one entry.
+/// Manages the configuration of one entry.
 #[derive(Debug)]
 pub struct ConfigController {
     entry: EntryId,
     boot: u64,
     holder: ConfigHolder,
-    head: Option<KeyVersion>,
+    head_version: Option<KeyVersion>,
     started: Instant,
-    /// Whether the store or peers have told the highest revision.
+    /// Whether the highest revision was learned from the store or from peers.
     learned: bool,
-    peers_heard: bool,
+    compared_with_peer: bool,
     confirm: Option<PendingConfirm>,
-    waiting: VecDeque<(CallId, PlanDocument)>,
+    queued_confirms: VecDeque<(CallId, PlanDocument)>,
     pending: Option<(CallId, PendingCall)>,
     retry: Option<(Instant, PendingCall)>,
     next_call: CallId,
@@ -97,12 +99,12 @@
             entry,
             boot,
             holder: ConfigHolder::default(),
-            head: None,
+            head_version: None,
             started: now,
             learned: false,
-            peers_heard: false,
+            compared_with_peer: false,
             confirm: None,
-            waiting: VecDeque::new(),
+            queued_confirms: VecDeque::new(),
             pending: None,
             retry: None,
             next_call: 0,
@@ -115,43 +117,43 @@
         self.holder.current()
     }
 
-    /// Tells whether the highest revision that can be known is in force.
+    /// Returns whether the highest revision that this entry can learn of is in force.
     pub fn learned(&self) -> bool {
         self.learned
     }
 
-    /// The watch or a read showed the head.
+    /// Handles the head of the configuration, as returned by a watch or a read.
     pub fn on_head(&mut self, stored: Option<&StoredValue>) -> Vec<ConfigOutput> {
         self.learned = true;
         let Some(stored) = stored else {
-            self.head = self.head.or(Some(0));
+            self.head_version = self.head_version.or(Some(0));
             return Vec::new();
         };
-        if self.head.is_none_or(|head| stored.version >= head) {
-            self.head = Some(stored.version);
+        if self.head_version.is_none_or(|head| stored.version >= head) {
+            self.head_version = Some(stored.version);
         }
         match serde_json::from_str(&stored.value) {
             Ok(config) => self.adopt(config),
             Err(error) => {
-                log::error!("the head in the store cannot be read: {error}");
+                log::error!("cannot decode the configuration head in the store: {error}");
                 Vec::new()
             }
         }
     }
 
-    /// A peer sent its configuration.
+    /// Handles the configuration of a peer.
     pub fn on_config(&mut self, config: ConfigRevision) -> Vec<ConfigOutput> {
-        self.peers_heard = true;
+        self.compared_with_peer = true;
         self.adopt(config)
     }
 
-    /// A peer told which revision it has.
+    /// Handles the revision number of a peer.
     pub fn on_peer_revision(&mut self, peer: &EntryId, revision: Revision) -> Vec<ConfigOutput> {
         let own = self.current().revision;
         match revision {
             higher if higher > own => vec![ConfigOutput::Ask(peer.clone())],
             _ => {
-                self.peers_heard = true;
+                self.compared_with_peer = true;
                 Vec::new()
             }
         }
@@ -168,7 +170,7 @@
         }
     }
 
-    /// An operator confirms a plan.
+    /// Queues the confirm of a plan by an operator.
     pub fn confirm(
         &mut self,
         now: Instant,
@@ -177,10 +179,10 @@
         cluster: &ClusterSummary,
         domains: &[DomainId],
     ) -> Vec<ConfigOutput> {
-        if self.waiting.len() >= MAX_WAITING {
+        if self.queued_confirms.len() >= MAX_QUEUED_CONFIRMS {
             return vec![ConfigOutput::Confirmed(call, Err(ConfirmRefusal::Busy))];
         }
-        self.waiting.push_back((call, plan));
+        self.queued_confirms.push_back((call, plan));
         self.next_confirm(now, cluster, domains)
     }
 
@@ -192,24 +194,24 @@
     ) -> Vec<ConfigOutput> {
         let mut outputs = Vec::new();
         while self.confirm.is_none() {
-            let Some((call, plan)) = self.waiting.pop_front() else {
+            let Some((call, plan)) = self.queued_confirms.pop_front() else {
                 break;
             };
-            match self.judge(&plan, cluster, domains) {
+            match self.validate(&plan, cluster, domains) {
                 Err(refusal) => outputs.push(ConfigOutput::Confirmed(call, Err(refusal))),
-                Ok(()) => outputs.extend(self.begin(now, call, plan)),
+                Ok(()) => outputs.extend(self.start_confirm(now, call, plan)),
             }
         }
         outputs
     }
 
-    fn judge(
+    fn validate(
         &self,
         plan: &PlanDocument,
         cluster: &ClusterSummary,
         domains: &[DomainId],
     ) -> std::result::Result<(), ConfirmRefusal> {
-        if !plan.genuine() {
+        if !plan.digest_matches() {
             return Err(ConfirmRefusal::NotGenuine);
         }
         let fresh = PlanDocument::new(self.current(), plan.request.clone(), cluster, domains);
@@ -220,24 +222,29 @@
         }
     }
 
-    fn begin(&mut self, now: Instant, call: CallId, plan: PlanDocument) -> Vec<ConfigOutput> {
+    fn start_confirm(
+        &mut self,
+        now: Instant,
+        call: CallId,
+        plan: PlanDocument,
+    ) -> Vec<ConfigOutput> {
         self.writes += 1;
         let write_id = format!("{}-{}-{}", self.entry, self.boot, self.writes);
         let next = plan.apply(self.current(), &write_id);
         self.confirm = Some(PendingConfirm { call, plan, next, write_id, started: now });
-        match self.head {
-            Some(_) => vec![self.call(PendingCall::Write)],
-            None => vec![self.call(PendingCall::ReadHead)],
+        match self.head_version {
+            Some(_) => vec![self.start_call(PendingCall::Write)],
+            None => vec![self.start_call(PendingCall::ReadHead)],
         }
     }
 
-    fn call(&mut self, pending: PendingCall) -> ConfigOutput {
+    fn start_call(&mut self, pending: PendingCall) -> ConfigOutput {
         self.next_call += 1;
         let key = CONFIG_KEY.to_owned();
         let request = match (&pending, &self.confirm) {
             (PendingCall::Write, Some(confirm)) => StoreRequest::Swap {
                 key,
-                expected: self.head.unwrap_or(0),
+                expected: self.head_version.unwrap_or(0),
                 value: serde_json::to_string(&confirm.next).unwrap_or_default(),
             },
             _ => StoreRequest::Read { key },
@@ -246,7 +253,7 @@
         ConfigOutput::Call(self.next_call, request)
     }
 
-    /// Brings back the outcome of a call.
+    /// Handles the outcome of a call to the store.
     pub fn answer(
         &mut self,
         now: Instant,
@@ -263,9 +270,9 @@
             }
         };
         let mut outputs = match (pending, outcome) {
-            (PendingCall::Write, StoreOutcome::Written(version)) => self.accepted(version),
+            (PendingCall::Write, StoreOutcome::Written(version)) => self.handle_written(version),
             (PendingCall::Write, StoreOutcome::Conflict | StoreOutcome::Unknown) => {
-                vec![self.call(PendingCall::Settle)]
+                vec![self.start_call(PendingCall::Settle)]
             }
             (PendingCall::Write | PendingCall::ReadHead, StoreOutcome::Unavailable) => {
                 self.refuse(ConfirmRefusal::StoreDown)
@@ -275,7 +282,7 @@
             }
             (_, StoreOutcome::Found(stored)) => self.settle(&stored, cluster, domains),
             (_, StoreOutcome::Missing) => {
-                self.head = Some(0);
+                self.head_version = Some(0);
                 self.learned = true;
                 self.settle_missing()
             }
@@ -290,14 +297,14 @@
 
     fn settle_missing(&mut self) -> Vec<ConfigOutput> {
         match &self.confirm {
-            Some(confirm) if confirm.plan.base == 0 => vec![self.call(PendingCall::Write)],
+            Some(confirm) if confirm.plan.base == 0 => vec![self.start_call(PendingCall::Write)],
             Some(_) => self.refuse(ConfirmRefusal::StoreDown),
             None => Vec::new(),
         }
     }
 
-    fn accepted(&mut self, version: KeyVersion) -> Vec<ConfigOutput> {
-        self.head = Some(version);
+    fn handle_written(&mut self, version: KeyVersion) -> Vec<ConfigOutput> {
+        self.head_version = Some(version);
         let Some(confirm) = self.confirm.take() else {
             return Vec::new();
         };
@@ -314,26 +321,28 @@
         }
     }
 
-    /// The head was read: it tells whether our write took effect.
+    /// Finds out from the head whether the pending write took effect.
     fn settle(
         &mut self,
         stored: &StoredValue,
         cluster: &ClusterSummary,
         domains: &[DomainId],
     ) -> Vec<ConfigOutput> {
-        let before = self.head;
+        let before = self.head_version;
         let mut outputs = self.on_head(Some(stored));
         let Some(confirm) = self.confirm.clone() else {
             return outputs;
         };
-        match self.current().made_by(&confirm.write_id) {
+        match self.current().revision_of_write(&confirm.write_id) {
             Some(revision) => {
                 self.confirm = None;
                 outputs.push(ConfigOutput::Confirmed(confirm.call, Ok(revision)));
             }
             None if self.current().revision == confirm.plan.base => {
-                log::debug!("head at version {before:?} is still the base: writing again");
-                outputs.push(self.call(PendingCall::Write));
+                log::debug!(
+                    "the head is still at the base of the plan, version {before:?}: writing again"
+                );
+                outputs.push(self.start_call(PendingCall::Write));
             }
             None => {
                 let request = confirm.plan.request.clone();
@@ -344,19 +353,19 @@
         outputs
     }
 
-    /// Lets time pass: repeats calls, gives up on confirms that cannot be settled.
+    /// Repeats calls that are due and answers confirms whose result stays unknown as unsettled.
     pub fn tick(&mut self, now: Instant) -> Vec<ConfigOutput> {
-        if !self.learned && self.peers_heard && now >= self.started + LEARN_TIME {
+        if !self.learned && self.compared_with_peer && now >= self.started + PEER_LEARN_TIME {
             self.learned = true;
         }
         let mut outputs = Vec::new();
-        let unsettled = |confirm: &PendingConfirm| now >= confirm.started + SETTLE_TIME;
+        let unsettled = |confirm: &PendingConfirm| now >= confirm.started + SETTLE_TIMEOUT;
         if self.confirm.as_ref().is_some_and(unsettled) {
             outputs.extend(self.refuse(ConfirmRefusal::Unsettled));
         }
         match self.retry.take() {
             Some((at, pending)) if now >= at && self.confirm.is_some() => {
-                outputs.push(self.call(pending));
+                outputs.push(self.start_call(pending));
             }
             Some((at, pending)) if self.confirm.is_some() => self.retry = Some((at, pending)),
             _ => {}
--- a/src/config/plan.rs
+++ b/src/config/plan.rs
@@ -1,4 +1,4 @@
-//! What would change if an intent were accepted.
+//! Plans: what would change if an intent were accepted or withdrawn.
 
 use std::collections::BTreeMap;
 
@@ -10,31 +10,31 @@
 use crate::intent::{IntentSpec, JobKind};
 use crate::resources::ResourceVector;
 
-/// What a failure domain has, as its leader last told.
+/// Capacity of a failure domain, as last reported by its leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct DomainSummary {
-    /// Workers claimed.
+    /// Number of claimed workers.
     pub workers: u32,
-    /// Sum of their capacities.
+    /// Sum of the workers' capacities.
     pub total: ResourceVector,
-    /// Room not given out.
+    /// Capacity that is not allocated.
     pub free: ResourceVector,
     /// Largest capacity of one worker in each dimension.
     pub largest: ResourceVector,
 }
 
-/// What all failure domains have; domains that were not heard from are absent.
+/// Capacities of all failure domains; domains that sent no report are absent.
 pub type ClusterSummary = BTreeMap<DomainId, DomainSummary>;
 
-/// What an operator asks to plan.
+/// The change that an operator asks to plan.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlanRequest {
     /// Put this intent in force.
     Accept(Box<IntentSpec>),
-    /// Withdraw the intent of this name.
+    /// Withdraw the intent with this name.
     Withdraw(ServiceId),
 }
 
@@ -49,9 +49,9 @@
     Stop,
     /// Tasks stop in one failure domain and start in another.
     Move,
-    /// Tasks wait, because there is no room now.
+    /// Tasks wait because there is not enough free capacity now.
     Wait,
-    /// It can never run; the plan cannot be confirmed.
+    /// The intent can never run; the plan cannot be confirmed.
     Refuse,
     /// A limit or a rule changes without tasks starting or stopping.
     Change,
@@ -63,32 +63,32 @@
 pub struct PlanChange {
     /// Kind of change.
     pub action: PlanAction,
-    /// What changes.
+    /// The intent that changes.
     pub subject: ServiceId,
-    /// Where.
+    /// The failure domain in which it changes.
     pub domain: Option<DomainId>,
     /// Number of tasks.
     pub count: u32,
-    /// Why, in words.
+    /// The reason, in words.
     pub reason: String,
 }
 
-/// A plan. It is not stored anywhere: it carries all that is needed to confirm it.
+/// A plan. It is not stored anywhere; it contains everything that is needed to confirm it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct PlanDocument {
-    /// Revision that it was made against.
+    /// Revision that the plan is based on.
     pub base: Revision,
-    /// What was asked.
+    /// The requested change.
     pub request: PlanRequest,
-    /// What would change.
+    /// The changes that the request would cause.
     pub changes: Vec<PlanChange>,
     /// Digest of base and request; guards against a plan that was edited.
     pub digest: String,
 }
 
 impl PlanDocument {
-    /// Works out what a request would change against a configuration.
+    /// Computes what a request would change in a configuration.
     pub fn new(
         config: &ConfigRevision,
         request: PlanRequest,
@@ -99,21 +99,21 @@
             PlanRequest::Accept(spec) => accept_changes(config, spec, cluster, domains),
             PlanRequest::Withdraw(service) => withdraw_changes(config, service, domains),
         };
-        let digest = digest(config.revision, &request);
+        let digest = request_digest(config.revision, &request);
         Self { base: config.revision, request, changes, digest }
     }
 
-    /// Tells whether nothing in it was edited.
-    pub fn genuine(&self) -> bool {
-        self.digest == digest(self.base, &self.request)
+    /// Returns whether the base and the request are unedited.
+    pub fn digest_matches(&self) -> bool {
+        self.digest == request_digest(self.base, &self.request)
     }
 
-    /// The change that keeps it from being confirmed.
+    /// Returns the change because of which the plan cannot be confirmed, if any.
     pub fn refusal(&self) -> Option<&PlanChange> {
         self.changes.iter().find(|change| change.action == PlanAction::Refuse)
     }
 
-    /// The configuration that follows when it is confirmed.
+    /// Returns the configuration that results when the plan is confirmed.
     pub(crate) fn apply(&self, config: &ConfigRevision, write_id: &str) -> ConfigRevision {
         match &self.request {
             PlanRequest::Accept(spec) => config.with(spec, write_id),
@@ -122,7 +122,7 @@
     }
 }
 
-fn digest(base: Revision, request: &PlanRequest) -> String {
+fn request_digest(base: Revision, request: &PlanRequest) -> String {
     let text = serde_json::to_string(request).unwrap_or_default();
     blake3::hash(format!("{base}\n{text}").as_bytes()).to_hex().to_string()
 }
@@ -134,7 +134,7 @@
     domains: &[DomainId],
 ) -> Vec<PlanChange> {
     let service = spec.service();
-    if let Some(reason) = impossible(spec, cluster, domains) {
+    if let Some(reason) = impossible_reason(spec, cluster, domains) {
         let count = spec.count;
         let (subject, domain) = (service, spec.domain.clone());
         return vec![PlanChange { action: PlanAction::Refuse, subject, domain, count, reason }];
@@ -214,15 +214,15 @@
     Some(PlanChange { action, subject, domain, count, reason })
 }
 
-/// A stop in one domain and a start in another are one move.
+/// Merges stops in one domain and starts in another into moves, if their task counts are equal.
 fn merge_moves(changes: &mut Vec<PlanChange>) {
-    let stops: u32 = sum(changes, PlanAction::Stop);
-    let starts: u32 = sum(changes, PlanAction::Start);
-    let places = |action| {
-        let own = changes.iter().filter(move |change| change.action == action);
-        own.filter_map(|change| change.domain.clone()).collect::<Vec<_>>()
+    let stops: u32 = task_count(changes, PlanAction::Stop);
+    let starts: u32 = task_count(changes, PlanAction::Start);
+    let domains_with = |action| {
+        let matching = changes.iter().filter(move |change| change.action == action);
+        matching.filter_map(|change| change.domain.clone()).collect::<Vec<_>>()
     };
-    let (from, to) = (places(PlanAction::Stop), places(PlanAction::Start));
+    let (from, to) = (domains_with(PlanAction::Stop), domains_with(PlanAction::Start));
     if stops > 0 && stops == starts && from != to {
         let reason = format!("from {}", from.iter().map(|d| &**d).collect::<Vec<_>>().join(", "));
         changes.retain(|change| change.action != PlanAction::Stop);
@@ -233,12 +233,16 @@
     }
 }
 
-fn sum(changes: &[PlanChange], action: PlanAction) -> u32 {
+fn task_count(changes: &[PlanChange], action: PlanAction) -> u32 {
     changes.iter().filter(|change| change.action == action).map(|change| change.count).sum()
 }
 
-/// Why an intent can never run, if so.
-fn impossible(spec: &IntentSpec, cluster: &ClusterSummary, domains: &[DomainId]) -> Option<String> {
+/// Returns the reason why an intent can never run, or `None` if it may run.
+fn impossible_reason(
+    spec: &IntentSpec,
+    cluster: &ClusterSummary,
+    domains: &[DomainId],
+) -> Option<String> {
     if let Some(domain) = &spec.domain
         && !domains.contains(domain)
     {
@@ -250,22 +254,22 @@
     {
         return Some(format!("one task needs more {resource} than the quota {quota:?}"));
     }
-    let mine = |domain: &&DomainId| spec.domain.as_ref().is_none_or(|only| only == *domain);
+    let allowed = |domain: &&DomainId| spec.domain.as_ref().is_none_or(|only| only == *domain);
     let summaries: Vec<_> =
-        domains.iter().filter(mine).map(|domain| cluster.get(domain)).collect::<Option<_>>()?;
+        domains.iter().filter(allowed).map(|domain| cluster.get(domain)).collect::<Option<_>>()?;
     if summaries.is_empty() {
         return None;
     }
     let largest =
-        summaries.iter().fold(ResourceVector::default(), |most, s| most.component_max(&s.largest));
+        summaries.iter().fold(ResourceVector::default(), |max, s| max.component_max(&s.largest));
     if let Some(resource) = spec.need.exceeds(&largest) {
         return Some(format!(
             "one task needs more {resource} than the largest worker, {largest:?}"
         ));
     }
-    let roomiest = summaries.iter().any(|s| spec.need.times(spec.count).fits(&s.total));
+    let any_domain_fits = summaries.iter().any(|s| spec.need.times(spec.count).fits(&s.total));
     match spec.kind {
-        JobKind::AllAtOnce if !roomiest => {
+        JobKind::AllAtOnce if !any_domain_fits => {
             Some("all tasks together need more than any failure domain has".to_owned())
         }
         _ => None,
