--- a/src/client.rs
+++ b/src/client.rs
@@ -1,4 +1,4 @@
-//! HTTP requests to the platform, workers and upstreams.
+//! HTTP client for the platform, workers and upstreams.
 
 #[cfg(test)]
 mod tests;
@@ -17,59 +17,60 @@
 
 type Result<T> = std::result::Result<T, ClientError>;
 
-/// Longest time to make a connection.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long an idle connection is kept.
-const IDLE_TIME: Duration = Duration::from_secs(20);
-/// A connection whose peer acknowledges nothing for this long is closed.
-const SILENT_TIME: Duration = Duration::from_secs(3);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// TCP keep-alive time and user timeout: a connection whose peer acknowledges nothing for this long is
+/// closed.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How a request failed.
 #[derive(Debug)]
 pub(crate) enum ClientError {
-    /// No connection could be made: the request surely did not arrive.
+    /// No connection could be established, so the request did not arrive.
     NotSent(String),
-    /// Nothing listens at the address: the request surely did not arrive.
+    /// Nothing listens at the address, so the request did not arrive.
     Refused(String),
-    /// It was sent, or may have been, and no whole answer came.
+    /// The request was sent, or may have been, and no complete answer arrived.
     NoAnswer(String),
 }
 
-/// A pool of connections.
+/// An HTTP client with a pool of connections.
 #[derive(Clone, Debug)]
 pub(crate) struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// A pool without connections.
+    /// Creates a client with an empty pool.
     pub(crate) fn new() -> Self {
-        Self::with_connect_time(CONNECT_TIME)
+        Self::with_connect_time(CONNECT_TIMEOUT)
     }
 
-    /// A pool without connections that gives a connection up after `time`.
+    /// Creates a client with an empty pool and `time` as the timeout for establishing a connection.
     pub(crate) fn with_connect_time(time: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(time));
-        connector.set_keepalive(Some(SILENT_TIME));
-        connector.set_tcp_user_timeout(Some(SILENT_TIME));
+        connector.set_keepalive(Some(UNACKNOWLEDGED_TIMEOUT));
+        connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
         let client = Client::builder(TokioExecutor::new())
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(IDLE_TIME)
+            .pool_idle_timeout(IDLE_TIMEOUT)
             .retry_canceled_requests(false)
             .build(connector);
         Self { client }
     }
 
-    /// Sends a request and collects its whole answer, up to a number of bytes.
+    /// Sends a request and collects the complete answer, up to a maximum size in bytes.
     pub(crate) async fn send(
         &self,
         request: Request<Full<Bytes>>,
         time: Duration,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Response<Bytes>> {
-        match timeout(time, self.exchange(request, most)).await {
+        match timeout(time, self.exchange(request, max_bytes)).await {
             Ok(result) => result,
             Err(_) => Err(ClientError::NoAnswer(format!("no answer within {time:?}"))),
         }
@@ -78,7 +79,7 @@
     async fn exchange(
         &self,
         request: Request<Full<Bytes>>,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Response<Bytes>> {
         let response =
             self.client.request(request).await.map_err(|error| match error.is_connect() {
@@ -87,12 +88,12 @@
                 false => ClientError::NoAnswer(describe(&error)),
             })?;
         let (parts, body) = response.into_parts();
-        let collected = Limited::new(body, most).collect().await;
+        let collected = Limited::new(body, max_bytes).collect().await;
         let bytes = collected.map_err(|error| ClientError::NoAnswer(error.to_string()))?.to_bytes();
         Ok(Response::from_parts(parts, bytes))
     }
 
-    /// Sends a body to a path of an address.
+    /// Sends a request with a body to a path at an address.
     pub(crate) async fn call(
         &self,
         method: Method,
@@ -100,7 +101,7 @@
         path: &str,
         body: impl Into<Bytes>,
         time: Duration,
-        most: usize,
+        max_bytes: usize,
     ) -> Result<Response<Bytes>> {
         let body = body.into();
         let request = Request::builder()
@@ -108,23 +109,23 @@
             .uri(format!("http://{address}{path}"))
             .body(Full::new(body))
             .map_err(|error| ClientError::NotSent(error.to_string()))?;
-        self.send(request, time, most).await
+        self.send(request, time, max_bytes).await
     }
 }
 
-/// Counts bytes of bodies exchanged with the platform, workers and peers.
+/// Counts the bytes of bodies exchanged with the platform, workers and peers.
 pub(crate) fn count_payload(line: &'static str, bytes: usize) {
     metrics::counter!("kelplink_payload_bytes_total", "line" => line).increment(bytes as u64);
 }
 
-/// Whether the address answered that nothing listens there.
+/// Returns whether the connection was refused because nothing listens at the address.
 fn is_refused(error: &dyn std::error::Error) -> bool {
     let causes = std::iter::successors(error.source(), |cause| cause.source());
     let mut kinds = causes.filter_map(|cause| cause.downcast_ref::<Error>()).map(Error::kind);
     kinds.any(|kind| kind == ErrorKind::ConnectionRefused)
 }
 
-/// An error with its causes.
+/// Formats an error with its causes.
 fn describe(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/src/client/tests.rs
+++ b/src/client/tests.rs
@@ -1,4 +1,4 @@
-//! How a request that was not answered failed.
+//! Tests of how failures without an answer are classified.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 
 #[gtest]
 #[tokio::test]
-async fn an_address_where_nothing_listens_refuses() {
+async fn an_address_where_nothing_listens_is_reported_as_refused() {
     let (listener, address) = listener().await;
     drop(listener);
     expect_that!(failure_of(address).await, matches_pattern!(ClientError::Refused(_)));
@@ -31,16 +31,16 @@
 
 #[gtest]
 #[tokio::test]
-async fn a_connection_that_is_closed_may_have_brought_its_request() {
+async fn a_connection_closed_without_an_answer_is_reported_as_no_answer() {
     let (listener, address) = listener().await;
-    let closes = tokio::spawn(async move { drop(listener.accept().await) });
+    let closing_task = tokio::spawn(async move { drop(listener.accept().await) });
     expect_that!(failure_of(address).await, matches_pattern!(ClientError::NoAnswer(_)));
-    closes.await.unwrap();
+    closing_task.await.unwrap();
 }
 
 #[gtest]
 #[tokio::test]
-async fn an_address_that_cannot_be_reached_does_not_refuse() {
+async fn an_unreachable_address_is_reported_as_not_sent() {
     // No TCP connection can be made to the broadcast address.
     let address = "255.255.255.255:80".parse().unwrap();
     expect_that!(failure_of(address).await, matches_pattern!(ClientError::NotSent(_)));
--- a/src/http.rs
+++ b/src/http.rs
@@ -1,6 +1,6 @@
-//! HTTP listening: our own accept loop around gotham's handlers, so that it can drain.
+//! HTTP server: an accept loop around gotham's handlers that can drain its connections.
 
-mod tap;
+mod recording_stream;
 #[cfg(test)]
 mod tests;
 
@@ -25,26 +25,27 @@
 use tokio::sync::{Semaphore, watch};
 use tokio::time::{sleep, timeout};
 
-use crate::http::tap::{HeadBytes, TappedStream, has_no_length};
+use crate::http::recording_stream::{HeadBytes, RecordingStream, has_no_length};
 use crate::problem::{ProblemDetails, RunState};
 
-/// First pause after an error of accept, for instance too many open files; it doubles.
+/// Pause after the first error of `accept`, such as too many open files; it doubles with each further
+/// error.
 const FIRST_ACCEPT_PAUSE: Duration = Duration::from_millis(5);
-/// Longest pause after errors of accept.
-const LONGEST_ACCEPT_PAUSE: Duration = Duration::from_millis(500);
+/// Longest pause after errors of `accept`.
+const MAX_ACCEPT_PAUSE: Duration = Duration::from_millis(500);
 
-/// Largest head of a request, in bytes: twice what RFC 9112 (section 3) asks servers to take for a request
-/// line. Each connection may keep as much.
-const HEAD_BYTES: usize = 16 << 10;
+/// Maximum size of a request head, in bytes: twice the length of a request line that RFC 9112
+/// (section 3) asks servers to support. Each connection may buffer this much.
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Bounds of a listener.
+/// Limits of a listener.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ListenerLimits {
-    /// Open connections.
+    /// Maximum number of open connections.
     pub(crate) connections: usize,
-    /// Longest time for the head of a request to arrive.
+    /// Timeout for the head of a request to arrive.
     pub(crate) head_time: Duration,
-    /// Longest time that a stop waits for requests in flight.
+    /// How long a stop waits at most for requests in flight.
     pub(crate) drain: Duration,
 }
 
@@ -58,10 +59,11 @@
     }
 }
 
-/// Something put into the state of each request before its handler runs.
+/// Function that prepares the state of each request before its handler runs.
 pub(crate) type PrepareState = Arc<dyn Fn(&mut State) + Send + Sync>;
 
-/// Serves until `stop` turns true, then lets requests in flight finish. Tells whether all did.
+/// Serves until `stop` turns true, then waits for requests in flight. Returns whether all of them
+/// finished within the limit.
 pub(crate) async fn serve_http(
     listener: TcpListener,
     limits: ListenerLimits,
@@ -97,7 +99,7 @@
             Err(error) => {
                 warn!("accept failed: {error}");
                 sleep(pause).await;
-                pause = (pause * 2).min(LONGEST_ACCEPT_PAUSE);
+                pause = (pause * 2).min(MAX_ACCEPT_PAUSE);
             }
         }
     }
@@ -116,30 +118,32 @@
 ) {
     let _ = stream.set_nodelay(true);
     let (router, prepare) = (router.clone(), prepare.clone());
-    let seen = HeadBytes::default();
-    let stream = TappedStream::new(stream, seen.clone());
+    let head_bytes = HeadBytes::default();
+    let stream = RecordingStream::new(stream, head_bytes.clone());
     let service = service_fn(move |request: hyper::Request<Incoming>| {
-        let head = seen.take();
-        let (router, prepare, seen) = (router.clone(), prepare.clone(), seen.clone());
+        let head = head_bytes.take();
+        let (router, prepare, head_bytes) = (router.clone(), prepare.clone(), head_bytes.clone());
         async move {
             if request.headers().contains_key(TRANSFER_ENCODING) && !has_no_length(&head) {
-                return Ok(two_lengths().response());
+                return Ok(ambiguous_length().response());
             }
             let mut state = State::from_request(request, address);
             prepare(&mut state);
             let answer = call_handler(router, AssertUnwindSafe(state)).await;
-            // What came in until now belongs to this request, unless the next was sent before its answer.
-            seen.take();
+            // The bytes recorded until now belong to this request, unless the client pipelined the
+            // next request.
+            head_bytes.take();
             answer
         }
     });
-    // Telling the versions of HTTP apart has no limit of time, and another version none of these bounds.
+    // HTTP/1 only: the detection of the HTTP version has no timeout, and these limits do not apply to
+    // other versions.
     let mut builder = Builder::new(TokioExecutor::new()).http1_only();
     builder
         .http1()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.head_time)
-        .max_buf_size(HEAD_BYTES);
+        .max_buf_size(MAX_HEAD_BYTES);
     let connection = builder.serve_connection(TokioIo::new(stream), service).into_owned();
     let watched = graceful.watch(connection);
     tokio::spawn(async move {
@@ -150,16 +154,17 @@
     });
 }
 
-/// Where the next request begins depends on which of both a reader goes by.
-fn two_lengths() -> ProblemDetails {
+/// Error for a request with both a content length and a transfer coding: where the next request begins
+/// depends on which of the two a reader uses.
+fn ambiguous_length() -> ProblemDetails {
     let detail = "a transfer coding may not stand beside a length";
     ProblemDetails::new(StatusCode::BAD_REQUEST, "malformed", detail).ran(RunState::No).closing()
 }
 
-/// Binds a listener; the address may have port 0.
+/// Binds a non-blocking listener. With port 0 the operating system chooses the port.
 ///
 /// # Errors
-/// Those of the operating system.
+/// Returns the error of the operating system.
 pub(crate) fn bind(address: SocketAddr) -> io::Result<std::net::TcpListener> {
     let listener = std::net::TcpListener::bind(address)?;
     listener.set_nonblocking(true)?;
--- a/src/http/tap.rs
+++ b/src/http/recording_stream.rs
@@ -1,8 +1,8 @@
-//! The bytes of a request's head, as they came in.
+//! A stream that records the bytes of request heads.
 //!
-//! hyper takes a message with both a length and a transfer coding by its coding, drops the length and
-//! closes the connection after the answer. Others on the way may have taken it by its length, so it has
-//! to be refused; that it had a length can be seen only here.
+//! For a message with both a content length and a transfer coding, hyper uses the coding, removes the
+//! length and closes the connection after the answer. A proxy in between may have used the length, so
+//! the request must be refused. That it had a length can only be seen in the bytes received.
 
 use std::io;
 use std::pin::Pin;
@@ -11,25 +11,25 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-use crate::http::HEAD_BYTES;
+use crate::http::MAX_HEAD_BYTES;
 
-/// Most lines of a head; hyper takes as many.
-const MOST_LINES: usize = 100;
+/// Maximum number of header lines; the same as hyper's limit.
+const MAX_HEADER_LINES: usize = 100;
 
-/// What came in on a connection since its last answer, up to the largest head.
+/// Bytes received on a connection since its last answer, up to the maximum size of a head.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HeadBytes(Arc<Mutex<Vec<u8>>>);
 
 impl HeadBytes {
-    /// Takes what has come in.
+    /// Returns the recorded bytes and clears the record.
     pub(super) fn take(&self) -> Vec<u8> {
         std::mem::take(&mut *self.lock())
     }
 
-    fn note(&self, bytes: &[u8]) {
-        let mut seen = self.lock();
-        let room = HEAD_BYTES.saturating_sub(seen.len()).min(bytes.len());
-        seen.extend(&bytes[..room]);
+    fn record(&self, bytes: &[u8]) {
+        let mut recorded = self.lock();
+        let free = MAX_HEAD_BYTES.saturating_sub(recorded.len()).min(bytes.len());
+        recorded.extend(&bytes[..free]);
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<u8>> {
@@ -37,29 +37,30 @@
     }
 }
 
-/// Whether a head surely has no length; one that is not whole, as when requests are sent without waiting
-/// for answers, may have one.
+/// Returns whether a head is known to have no content length. An incomplete head, as recorded for
+/// pipelined requests, may have one.
 pub(super) fn has_no_length(head: &[u8]) -> bool {
-    let mut lines = [httparse::EMPTY_HEADER; MOST_LINES];
-    let mut request = httparse::Request::new(&mut lines);
-    let whole = request.parse(head).is_ok_and(|status| status.is_complete());
-    whole && !request.headers.iter().any(|line| line.name.eq_ignore_ascii_case("content-length"))
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
+    let mut request = httparse::Request::new(&mut headers);
+    let complete = request.parse(head).is_ok_and(|status| status.is_complete());
+    complete
+        && !request.headers.iter().any(|header| header.name.eq_ignore_ascii_case("content-length"))
 }
 
-/// A connection that notes what comes in.
+/// A connection that records the bytes it receives.
 #[derive(Debug)]
-pub(super) struct TappedStream<S> {
+pub(super) struct RecordingStream<S> {
     stream: S,
-    seen: HeadBytes,
+    head_bytes: HeadBytes,
 }
 
-impl<S> TappedStream<S> {
-    pub(super) fn new(stream: S, seen: HeadBytes) -> Self {
-        Self { stream, seen }
+impl<S> RecordingStream<S> {
+    pub(super) fn new(stream: S, head_bytes: HeadBytes) -> Self {
+        Self { stream, head_bytes }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for TappedStream<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for RecordingStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -67,12 +68,12 @@
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
-        self.seen.note(&buffer.filled()[before..]);
+        self.head_bytes.record(&buffer.filled()[before..]);
         polled
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for TappedStream<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for RecordingStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
