--- a/src/callers.rs
+++ b/src/callers.rs
@@ -1,34 +1,37 @@
-//! The duty of answering callers: a chain of filters, then the attempt at an upstream.
+//! The callers' interface: a chain of filters, then attempts at an upstream.
 //!
-//! A request passes identify, limit and admit in this order; each either puts what it found into the
-//! request's state or answers. Then the dispatcher routes, sends and answers.
+//! A request passes the filters identify, limit and admit in this order. Each filter either adds its
+//! result to the request's state or answers the request itself. Then the dispatcher obtains a slot,
+//! sends the request to the upstream and answers the caller.
 
 mod admit;
+mod caller_loop;
 mod context;
 mod dispatch;
-mod duty;
 mod identify;
 mod jobs;
 mod limit;
 
+pub(crate) use caller_loop::CallerLoop;
 pub(crate) use context::CallerInput;
 pub(crate) use context::{CallerContext, RouterState};
-pub(crate) use duty::CallerLoop;
 pub(crate) use limit::collect;
 
-/// Header that carries a request's number to the upstream and back.
+/// Header with the request's id, sent to the upstream and returned by it.
 pub(crate) const REQUEST_ID_HEADER: &str = "kelplink-request-id";
-/// Header that carries the number of the attempt to the upstream and back.
+/// Header with the number of the attempt, sent to the upstream and returned by it.
 pub(crate) const ATTEMPT_HEADER: &str = "kelplink-attempt";
-/// Header that tells the upstream, in milliseconds, after what time it must have stopped working.
+/// Header with the time limit of an attempt in milliseconds; the upstream must stop working on the
+/// request when it has passed.
 pub(crate) const ATTEMPT_LIMIT_HEADER: &str = "kelplink-attempt-limit-ms";
-/// Header of a caller: how urgent a request is.
+/// Request header set by callers: how urgent the request is.
 pub(crate) const URGENCY_HEADER: &str = "kelplink-urgency";
-/// Header of a caller: after how many milliseconds it stops waiting.
+/// Request header set by callers: how many milliseconds the caller waits for an answer.
 pub(crate) const DEADLINE_HEADER: &str = "kelplink-deadline-ms";
-/// Header of a caller: whether the request may be run again after it may have run.
+/// Request header set by callers: whether the request may be sent again when an earlier attempt may
+/// have run.
 pub(crate) const IDEMPOTENT_HEADER: &str = "kelplink-idempotent";
-/// Header of a caller: names a request that must run at most once.
+/// Request header set by callers: key of a request that must run at most once.
 pub(crate) const KEY_HEADER: &str = "idempotency-key";
-/// Header of a request that another entry handed over; it is not handed over again.
-pub(crate) const HANDED_HEADER: &str = "kelplink-handed-over";
+/// Header of a request forwarded by another entry; such a request is not forwarded again.
+pub(crate) const HANDED_OVER_HEADER: &str = "kelplink-handed-over";
--- a/src/callers/admit.rs
+++ b/src/callers/admit.rs
@@ -1,4 +1,4 @@
-//! Third filter: a request that must run at most once has its key made durable first.
+//! Third filter: stores the key of a request that must run at most once before the request is sent.
 
 use std::pin::Pin;
 use std::sync::atomic::Ordering;
@@ -18,35 +18,35 @@
 use crate::message::{ClientAnswer, ClientCall, KeyAnswer};
 use crate::problem::{ProblemDetails, RAN_HEADER, RunState, full};
 
-/// Longest time to make a key durable.
-const RESERVE_TIME: Duration = Duration::from_secs(4);
-/// Advice on when to come back while keys cannot be made durable.
+/// Timeout for storing a key or its result.
+const KEY_CALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// Value of `Retry-After` while keys cannot be stored.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// The reservation of a key.
+/// A stored key and the request that holds it.
 #[derive(Clone, Debug)]
 pub(crate) struct KeyReservation {
     pub(crate) id: String,
     pub(crate) holder: String,
 }
 
-/// A reservation where the request has a key.
+/// The key reservation of a request; `None` if the request needs none.
 #[derive(Clone, Debug)]
 pub(crate) struct KeyAdmission(pub(crate) Option<KeyReservation>);
 
 impl StateData for KeyAdmission {}
 
 impl KeyReservation {
-    /// Tells what became of the request.
+    /// Stores the result of the request under its key, without waiting for the store.
     pub(crate) fn complete(&self, context: &CallerContext, state: KeyState) {
         let call =
             ClientCall::CompleteKey { id: self.id.clone(), holder: self.holder.clone(), state };
-        let calls = context.calls.clone();
-        tokio::spawn(async move { calls.call(call, RESERVE_TIME).await });
+        let control = context.control.clone();
+        tokio::spawn(async move { control.call(call, KEY_CALL_TIMEOUT).await });
     }
 }
 
-/// Reserves the key.
+/// Filter that reserves the idempotency key of a request.
 #[derive(Clone, Copy, Debug, NewMiddleware)]
 pub(crate) struct AdmitFilter;
 
@@ -57,12 +57,13 @@
     {
         Box::pin(async move {
             let identity = RequestIdentity::borrow_from(&state);
-            let keyed = identity.key.is_some() && !identity.idempotent && !identity.handed_over;
-            if !keyed {
+            let needs_reservation =
+                identity.key.is_some() && !identity.idempotent && !identity.handed_over;
+            if !needs_reservation {
                 state.put(KeyAdmission(None));
                 return chain(state).await;
             }
-            match reserve(&state).await {
+            match reserve_key(&state).await {
                 Ok(reservation) => {
                     state.put(KeyAdmission(Some(reservation)));
                     chain(state).await
@@ -73,7 +74,7 @@
     }
 }
 
-fn reserve(
+fn reserve_key(
     state: &State,
 ) -> impl Future<Output = Result<KeyReservation, Box<Response<Body>>>> + Send + 'static {
     let identity = RequestIdentity::borrow_from(state).clone();
@@ -85,23 +86,25 @@
         let id = format!("{}:{key}", identity.service);
         let number = context.next_request.fetch_add(1, Ordering::Relaxed);
         let holder = format!("{}-{}-{number}", context.entry, context.boot);
-        let digest = digest(&method, &identity.target, &body.0);
+        let digest = request_digest(&method, &identity.target, &body.0);
         let reservation = KeyReservation { id: id.clone(), holder: holder.clone() };
         let call = ClientCall::ReserveKey { id, digest, holder };
-        match context.calls.call(call, RESERVE_TIME).await {
+        match context.control.call(call, KEY_CALL_TIMEOUT).await {
             ClientAnswer::Key(KeyAnswer::Fresh) => Ok(reservation),
-            ClientAnswer::Key(KeyAnswer::Answered(answer)) => Err(Box::new(replay(&answer))),
-            ClientAnswer::Key(KeyAnswer::Unknown) => Err(Box::new(unknown().response())),
-            ClientAnswer::Key(KeyAnswer::Mismatch) => Err(Box::new(mismatch().response())),
+            ClientAnswer::Key(KeyAnswer::Answered(answer)) => {
+                Err(Box::new(replayed_response(&answer)))
+            }
+            ClientAnswer::Key(KeyAnswer::Unknown) => Err(Box::new(already_sent().response())),
+            ClientAnswer::Key(KeyAnswer::Mismatch) => Err(Box::new(key_used_before().response())),
             _ => {
                 reservation.complete(&context, KeyState::NotRun);
-                Err(Box::new(not_reserved().response()))
+                Err(Box::new(key_not_stored().response()))
             }
         }
     }
 }
 
-fn digest(method: &Method, target: &str, body: &[u8]) -> String {
+fn request_digest(method: &Method, target: &str, body: &[u8]) -> String {
     let mut hasher = blake3::Hasher::new();
     hasher.update(method.as_str().as_bytes());
     hasher.update(&[0]);
@@ -111,32 +114,33 @@
     hasher.finalize().to_hex().to_string()
 }
 
-/// The first request's answer, once more.
-fn replay(answer: &StoredAnswer) -> Response<Body> {
+/// Builds the response from the stored answer to the first request with this key.
+fn replayed_response(answer: &StoredAnswer) -> Response<Body> {
     let mut response = Response::new(full(answer.body.clone()));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
-    let kind = answer.content_type.as_deref().and_then(|kind| HeaderValue::from_str(kind).ok());
-    if let Some(kind) = kind {
-        headers.insert(CONTENT_TYPE, kind);
+    let content_type =
+        answer.content_type.as_deref().and_then(|text| HeaderValue::from_str(text).ok());
+    if let Some(content_type) = content_type {
+        headers.insert(CONTENT_TYPE, content_type);
     }
     headers.insert(RAN_HEADER, HeaderValue::from_static(RunState::Yes.label()));
     headers.insert("kelplink-replayed", HeaderValue::from_static("true"));
     response
 }
 
-fn unknown() -> ProblemDetails {
+fn already_sent() -> ProblemDetails {
     let detail = "a request with this key was sent before; it may be running or have run";
     ProblemDetails::new(StatusCode::CONFLICT, "already sent", detail).ran(RunState::Unknown)
 }
 
-fn mismatch() -> ProblemDetails {
+fn key_used_before() -> ProblemDetails {
     let detail = "this key was used for another request";
     ProblemDetails::new(StatusCode::UNPROCESSABLE_ENTITY, "key used before", detail)
         .ran(RunState::No)
 }
 
-fn not_reserved() -> ProblemDetails {
+fn key_not_stored() -> ProblemDetails {
     let detail = "the key cannot be made durable now, so the request was not sent";
     ProblemDetails::new(StatusCode::SERVICE_UNAVAILABLE, "not run", detail)
         .ran(RunState::No)
--- a/src/callers/duty.rs
+++ b/src/callers/caller_loop.rs
@@ -25,15 +25,15 @@
 use crate::http::{ListenerLimits, PrepareState, serve_http};
 use crate::ring::RingReceiver;
 
-/// Interval at which time passes for the router.
-const TICK: Duration = Duration::from_millis(20);
-/// Ticks between two reports while nothing waits.
-const CALM_TICKS: u32 = 25;
-/// Ticks between two reports while requests wait.
-const BUSY_TICKS: u32 = 5;
+/// Interval between two ticks of the router.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Ticks between two demand reports while no request waits.
+const IDLE_REPORT_TICKS: u32 = 25;
+/// Ticks between two demand reports while requests wait.
+const BUSY_REPORT_TICKS: u32 = 5;
 
-/// Methods that are passed on to upstreams.
-const METHODS: [Method; 7] = [
+/// HTTP methods that are forwarded to upstreams.
+const FORWARDED_METHODS: [Method; 7] = [
     Method::GET,
     Method::HEAD,
     Method::POST,
@@ -54,10 +54,11 @@
         Self { context, input }
     }
 
-    /// Runs until told to stop and all requests in flight have ended. Tells whether none was cut.
+    /// Runs until it is stopped and all requests in flight have finished. Returns false if requests in
+    /// flight were cut.
     ///
     /// # Errors
-    /// Where the listener cannot be used.
+    /// Returns an error if the listener cannot be used.
     pub(crate) async fn run(self, listener: std::net::TcpListener) -> io::Result<bool> {
         let listener = TcpListener::from_std(listener)?;
         let limits = ListenerLimits {
@@ -68,41 +69,41 @@
         let context = self.context.clone();
         let prepare: PrepareState = Arc::new(move |state| state.put(context.clone()));
         let (stop, stopped) = watch::channel(false);
-        let serving = serve_http(listener, limits, routes(), prepare, stopped);
+        let server = serve_http(listener, limits, routes(), prepare, stopped);
         tokio::select! {
-            whole = serving => {
-                if !whole {
-                    warn!("the limit on a planned stop cut requests in flight");
+            drained = server => {
+                if !drained {
+                    warn!("the time limit of a planned stop cut requests in flight");
                 }
-                Ok(whole)
+                Ok(drained)
             }
-            () = self.steer(stop) => Ok(false),
+            () = self.run_router(stop) => Ok(false),
         }
     }
 
-    /// Keeps the router supplied.
-    async fn steer(self, stop: watch::Sender<bool>) {
-        let mut ticks = interval(TICK);
+    /// Handles inputs and ticks the router until the thread is killed.
+    async fn run_router(self, stop: watch::Sender<bool>) {
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut since_report = 0;
+        let mut ticks_since_report = 0;
         loop {
             tokio::select! {
                 _ = ticks.tick() => {
-                    since_report += 1;
-                    self.tick(&mut since_report);
+                    ticks_since_report += 1;
+                    self.tick(&mut ticks_since_report);
                 }
                 input = self.input.recv() => match input {
                     Some(CallerInput::Kill) => return,
                     Some(CallerInput::Stop) | None => {
                         let _ = stop.send(true);
                     }
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                 }
             }
         }
     }
 
-    fn take(&self, input: CallerInput) {
+    fn handle_input(&self, input: CallerInput) {
         let now = Instant::now();
         let mut router_state = self.context.router_state();
         match input {
@@ -126,18 +127,18 @@
         }
     }
 
-    fn tick(&self, since_report: &mut u32) {
+    fn tick(&self, ticks_since_report: &mut u32) {
         let now = Instant::now();
         let mut router_state = self.context.router_state();
         let actions = router_state.router.tick(now);
         router_state.notify_waiters(actions);
-        let calm = router_state.router.waiting() == 0 && router_state.router.holds_shares(now);
-        let due = if calm { CALM_TICKS } else { BUSY_TICKS };
-        if *since_report >= due {
-            *since_report = 0;
+        let idle = router_state.router.waiting() == 0 && router_state.router.holds_shares(now);
+        let report_ticks = if idle { IDLE_REPORT_TICKS } else { BUSY_REPORT_TICKS };
+        if *ticks_since_report >= report_ticks {
+            *ticks_since_report = 0;
             let report = router_state.router.report(now);
             let free = router_state.router.free_slots(now);
-            self.context.calls.tell(DomainEvent::Demand(report, free));
+            self.context.control.send_event(DomainEvent::Demand(report, free));
         }
     }
 }
@@ -146,7 +147,7 @@
     let pipeline = new_pipeline().add(IdentifyFilter).add(LimitFilter).add(AdmitFilter).build();
     let (chain, pipelines) = single_pipeline(pipeline);
     build_router(chain, pipelines, |route| {
-        route.request(METHODS.to_vec(), "/s/*").to_new_handler(|| Ok(dispatch));
+        route.request(FORWARDED_METHODS.to_vec(), "/s/*").to_new_handler(|| Ok(dispatch));
         route.with_pipeline_chain((), |route| {
             let methods = vec![Method::GET, Method::POST, Method::DELETE];
             route.request(methods, "/v1/workspaces/*").to_new_handler(|| Ok(handle_jobs));
--- a/src/callers/context.rs
+++ b/src/callers/context.rs
@@ -1,4 +1,4 @@
-//! What all requests of an entry share.
+//! State shared by all requests of an entry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,32 +18,32 @@
 use crate::routing::{RequestRouter, RouteAction, ShareGrant};
 use crate::settings::LimitSettings;
 
-/// What comes to this thread.
+/// Inputs of the callers' thread.
 #[derive(Debug)]
 pub(crate) enum CallerInput {
-    /// Slots for the router.
+    /// Upstream slots granted to this entry's router.
     Grant(ShareGrant),
-    /// Upstreams that are leaving.
+    /// Upstreams that are leaving the cluster.
     Leaving(BTreeSet<UpstreamId>),
-    /// Other entries with free slots by service.
+    /// Other entries with free slots, by service.
     PeerSlots(BTreeMap<ServiceId, Vec<EntryId>>),
-    /// A configuration in force.
+    /// The configuration now in force.
     Config(Arc<ConfigRevision>),
-    /// Tell the router's state.
+    /// Asks for the router's state.
     Dump(oneshot::Sender<serde_json::Value>),
-    /// End the thread once requests in flight have ended.
+    /// Ends the thread after the requests in flight have finished.
     Stop,
-    /// End the thread at once.
+    /// Ends the thread at once.
     Kill,
 }
 
-/// The router with those who wait for its word.
+/// The router and the requests that wait for its decision.
 #[derive(Debug)]
 pub(crate) struct RouterState {
     pub(crate) router: RequestRouter,
     pub(crate) waiting: BTreeMap<u64, oneshot::Sender<RouteAction>>,
     pub(crate) peer_slots: BTreeMap<ServiceId, Vec<EntryId>>,
-    /// Connections by upstream; renewed when one goes silent.
+    /// Connection pools by upstream; a pool is replaced after an attempt without an answer.
     pub(crate) pools: BTreeMap<UpstreamId, HttpClient>,
     /// The configuration in force.
     pub(crate) config: Arc<ConfigRevision>,
@@ -60,44 +60,45 @@
         }
     }
 
-    /// Passes the router's word on to those who wait for it.
+    /// Passes the router's decisions to the waiting requests. A slot whose request no longer waits is
+    /// given back to the router.
     pub(crate) fn notify_waiters(&mut self, actions: Vec<RouteAction>) {
         for action in actions {
             let id = match &action {
                 RouteAction::Send(id, _) | RouteAction::Reject(id, ..) => *id,
             };
-            let left = match self.waiting.remove(&id) {
+            let undelivered = match self.waiting.remove(&id) {
                 Some(sender) => sender.send(action).err(),
                 None => Some(action),
             };
-            if let Some(RouteAction::Send(_, spec)) = left {
+            if let Some(RouteAction::Send(_, spec)) = undelivered {
                 let outcome = crate::routing::RouteOutcome::Abandoned;
                 let time = std::time::Duration::ZERO;
-                let more = self.router.finish(Instant::now(), &spec.id, outcome, time);
-                self.notify_waiters(more);
+                let more_actions = self.router.finish(Instant::now(), &spec.id, outcome, time);
+                self.notify_waiters(more_actions);
             }
         }
     }
 }
 
-/// What a caller's service is like, as its intent says.
+/// Defaults for the requests to a service, from the service's intent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ServiceDefaults {
     pub(crate) urgency: Urgency,
     pub(crate) idempotent: bool,
 }
 
-/// Shared by all requests of an entry.
+/// Context shared by all requests of an entry.
 #[derive(Clone)]
 pub(crate) struct CallerContext {
     pub(crate) entry: EntryId,
     pub(crate) boot: u64,
     pub(crate) router_state: Arc<Mutex<RouterState>>,
-    pub(crate) calls: ControlHandle,
+    pub(crate) control: ControlHandle,
     pub(crate) limits: LimitSettings,
     pub(crate) next_request: Arc<AtomicU64>,
     pub(crate) peers: Arc<BTreeMap<EntryId, SocketAddr>>,
-    /// Connections to other entries.
+    /// Connection pool for the other entries.
     pub(crate) peer_client: HttpClient,
     /// All failure domains.
     pub(crate) domains: Arc<[DomainId]>,
@@ -108,12 +109,12 @@
 impl StateData for CallerContext {}
 
 impl CallerContext {
-    /// The router; a thread that panicked while it held it leaves it usable.
+    /// Locks the router's state. A panic of another thread that held the lock is ignored.
     pub(crate) fn router_state(&self) -> MutexGuard<'_, RouterState> {
         self.router_state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What the intent of a service says; `None` where there is no such intent.
+    /// Returns the defaults from the intent of a service, or `None` if there is no such intent.
     pub(crate) fn defaults(&self, service: &ServiceId) -> Option<ServiceDefaults> {
         let config = self.router_state().config.clone();
         let intent = config.intents.get(service)?;
--- a/src/callers/dispatch.rs
+++ b/src/callers/dispatch.rs
@@ -1,4 +1,4 @@
-//! Route, send, answer.
+//! Routes a request to an upstream, sends it and answers the caller.
 
 use std::pin::Pin;
 use std::sync::atomic::Ordering;
@@ -22,7 +22,7 @@
 use crate::callers::identify::RequestIdentity;
 use crate::callers::limit::CollectedBody;
 use crate::callers::{
-    ATTEMPT_HEADER, ATTEMPT_LIMIT_HEADER, DEADLINE_HEADER, HANDED_HEADER, REQUEST_ID_HEADER,
+    ATTEMPT_HEADER, ATTEMPT_LIMIT_HEADER, DEADLINE_HEADER, HANDED_OVER_HEADER, REQUEST_ID_HEADER,
 };
 use crate::client::{ClientError, HttpClient};
 use crate::id::EntryId;
@@ -30,14 +30,14 @@
 use crate::problem::{ProblemDetails, RAN_HEADER, RunState, full};
 use crate::routing::{RejectReason, RouteAction, RouteOutcome, SlotRequest, UpstreamSpec};
 
-/// Attempts at one request.
+/// Maximum number of attempts for one request.
 const MAX_ATTEMPTS: u32 = 3;
-/// Added to the limit of an attempt before it counts as surely ended.
-const LIMIT_MARGIN: Duration = Duration::from_millis(200);
-/// Advice on when to come back after a failure.
+/// Margin added to the time limit of an attempt before the attempt is known to have ended.
+const ATTEMPT_MARGIN: Duration = Duration::from_millis(200);
+/// Value of `Retry-After` after a failure.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Headers that concern one connection only.
-const HOP_HEADERS: [&str; 9] = [
+/// Headers that apply to a single connection and are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -49,8 +49,8 @@
     "upgrade",
 ];
 
-/// One request on its way.
-struct Dispatch {
+/// A request that is being dispatched.
+struct RequestDispatch {
     context: CallerContext,
     identity: RequestIdentity,
     method: Method,
@@ -60,22 +60,22 @@
     attempt: u32,
 }
 
-/// What became of one attempt.
+/// How one attempt ended.
 enum AttemptEnd {
-    /// A whole answer.
+    /// A complete answer arrived.
     Answered(Response<Bytes>),
-    /// It surely did not reach the upstream.
+    /// The request did not reach the upstream.
     NotRun(String),
-    /// It may have run, and has surely ended at the given time.
+    /// The request may have run. It has ended by the given time at the latest.
     Unknown(String, Instant),
 }
 
-/// The last step of the chain.
+/// Handles a request that passed all filters.
 pub(crate) fn dispatch(mut state: State) -> Pin<Box<HandlerFuture>> {
     let context = CallerContext::borrow_from(&state).clone();
     let id = context.next_request.fetch_add(1, Ordering::Relaxed);
     let admission = KeyAdmission::take_from(&mut state);
-    let dispatch = Dispatch {
+    let dispatch = RequestDispatch {
         identity: RequestIdentity::take_from(&mut state),
         method: Method::borrow_from(&state).clone(),
         headers: HeaderMap::borrow_from(&state).clone(),
@@ -85,11 +85,12 @@
         context: context.clone(),
     };
     Box::pin(async move {
-        // A task of its own: a caller that goes away must not leave the attempt without an end.
+        // A separate task, so that the attempt is completed and its slot given back even if the caller
+        // closes its connection.
         let handle = tokio::spawn(dispatch.run());
         let response = match handle.await {
             Ok(response) => response,
-            Err(_) => failed("the request's task ended", RunState::Unknown),
+            Err(_) => failure("the request's task ended", RunState::Unknown),
         };
         if let Some(reservation) = &admission.0 {
             reservation.complete(&context, key_state(&response));
@@ -100,7 +101,7 @@
     })
 }
 
-/// What a key's record says after this answer.
+/// Returns the state to store under the request's key after this answer.
 fn key_state(response: &Response<Bytes>) -> KeyState {
     let ran = response.headers().get(RAN_HEADER).and_then(|value| value.to_str().ok());
     match ran {
@@ -121,10 +122,10 @@
     headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned)
 }
 
-impl Dispatch {
+impl RequestDispatch {
     async fn run(mut self) -> Response<Bytes> {
         let started = Instant::now();
-        let response = self.attempts().await;
+        let response = self.run_attempts().await;
         let ran = text_header(response.headers(), &HeaderName::from_static(RAN_HEADER));
         let ran = ran.unwrap_or_default();
         let labels = [("ran", ran.clone())];
@@ -138,26 +139,26 @@
         response
     }
 
-    async fn attempts(&mut self) -> Response<Bytes> {
+    async fn run_attempts(&mut self) -> Response<Bytes> {
         loop {
             self.attempt += 1;
-            let spec = match self.slot().await {
+            let spec = match self.acquire_slot().await {
                 Ok(spec) => spec,
-                Err((reason, advice)) => return self.rejected(reason, advice).await,
+                Err((reason, retry_after)) => return self.reject(reason, retry_after).await,
             };
-            let end = self.attempt_at(&spec).await;
+            let end = self.send_attempt(&spec).await;
             match end {
                 AttemptEnd::Answered(response) => return response,
                 AttemptEnd::NotRun(detail) if !self.may_retry() => {
-                    return failed(&detail, RunState::No);
+                    return failure(&detail, RunState::No);
                 }
                 AttemptEnd::NotRun(detail) => {
-                    info!(request:% = self.id; "not run, again: {detail}")
+                    info!(request:% = self.id; "not run, trying again: {detail}")
                 }
                 AttemptEnd::Unknown(detail, ended) => {
-                    let again = self.identity.idempotent && ended < self.identity.deadline;
-                    if !again || !self.may_retry() {
-                        return failed(&detail, RunState::Unknown);
+                    let may_repeat = self.identity.idempotent && ended < self.identity.deadline;
+                    if !may_repeat || !self.may_retry() {
+                        return failure(&detail, RunState::Unknown);
                     }
                     sleep_until(ended).await;
                 }
@@ -166,13 +167,15 @@
     }
 
     fn may_retry(&self) -> bool {
-        let time_left = Instant::now() < self.identity.deadline;
-        time_left && self.attempt < MAX_ATTEMPTS && self.context.router_state().router.spend_retry()
+        let before_deadline = Instant::now() < self.identity.deadline;
+        before_deadline
+            && self.attempt < MAX_ATTEMPTS
+            && self.context.router_state().router.spend_retry()
     }
 
-    /// Asks the router for a slot and waits for its word.
-    async fn slot(&self) -> Result<UpstreamSpec, (RejectReason, Duration)> {
-        let ticket = SlotRequest {
+    /// Asks the router for a slot and waits for its decision.
+    async fn acquire_slot(&self) -> Result<UpstreamSpec, (RejectReason, Duration)> {
+        let slot_request = SlotRequest {
             id: self.id,
             service: self.identity.service.clone(),
             workspace: self.identity.workspace.clone(),
@@ -184,25 +187,25 @@
             let mut router_state = self.context.router_state();
             router_state.waiting.insert(self.id, sender);
             let started = std::time::Instant::now();
-            let actions = router_state.router.route_request(Instant::now(), ticket.clone());
+            let actions = router_state.router.route_request(Instant::now(), slot_request.clone());
             let seconds = started.elapsed().as_secs_f64();
             metrics::histogram!("kelplink_route_seconds").record(seconds);
             router_state.notify_waiters(actions);
             receiver
         };
-        match timeout_at(self.identity.deadline + LIMIT_MARGIN, receiver).await {
+        match timeout_at(self.identity.deadline + ATTEMPT_MARGIN, receiver).await {
             Ok(Ok(RouteAction::Send(_, spec))) => Ok(spec),
-            Ok(Ok(RouteAction::Reject(_, reason, advice))) => Err((reason, advice)),
+            Ok(Ok(RouteAction::Reject(_, reason, retry_after))) => Err((reason, retry_after)),
             _ => {
                 let mut router_state = self.context.router_state();
                 router_state.waiting.remove(&self.id);
-                router_state.router.abandon(&ticket);
+                router_state.router.abandon(&slot_request);
                 Err((RejectReason::DeadlinePassed, RETRY_AFTER))
             }
         }
     }
 
-    async fn attempt_at(&self, spec: &UpstreamSpec) -> AttemptEnd {
+    async fn send_attempt(&self, spec: &UpstreamSpec) -> AttemptEnd {
         let pool = self
             .context
             .router_state()
@@ -212,17 +215,19 @@
             .clone();
         let started = Instant::now();
         let limit = self.context.router_state().router.attempt_limit();
-        let left = self.identity.deadline.saturating_duration_since(started);
-        let limit = limit.min(left).max(Duration::from_millis(1));
-        let ended = started + limit + LIMIT_MARGIN;
-        let end = match self.request(spec, limit) {
+        let time_left = self.identity.deadline.saturating_duration_since(started);
+        let limit = limit.min(time_left).max(Duration::from_millis(1));
+        let ended = started + limit + ATTEMPT_MARGIN;
+        let end = match self.upstream_request(spec, limit) {
             Ok(request) => pool.send(request, limit, self.context.limits.answer_bytes).await,
             Err(detail) => Err(ClientError::NotSent(detail)),
         };
         let time = started.elapsed();
         let (outcome, end) = match end {
-            Ok(response) => match self.own_answer(&response) {
-                true => (RouteOutcome::Answered, AttemptEnd::Answered(self.pass_back(response))),
+            Ok(response) => match self.matches_attempt(&response) {
+                true => {
+                    (RouteOutcome::Answered, AttemptEnd::Answered(self.caller_response(response)))
+                }
                 false => {
                     let detail = "the upstream answered another request".to_owned();
                     (RouteOutcome::Failed, AttemptEnd::Unknown(detail, ended))
@@ -236,8 +241,8 @@
             }
         };
         if matches!(end, AttemptEnd::Unknown(..)) {
-            // Its connections may be dead without knowing it; the slot stays in use until the
-            // attempt must have ended.
+            // The connections of this pool may be dead without having been closed, so the pool is
+            // replaced. The slot stays in use until the attempt must have ended.
             self.context.router_state().pools.remove(&spec.id);
             metrics::counter!("kelplink_pools_renewed_total").increment(1);
             let (context, id) = (self.context.clone(), spec.id.clone());
@@ -259,7 +264,7 @@
         format!("{}-{}-{}", self.context.entry, self.context.boot, self.id)
     }
 
-    fn request(
+    fn upstream_request(
         &self,
         spec: &UpstreamSpec,
         limit: Duration,
@@ -273,22 +278,23 @@
         let headers = request.headers_mut();
         copy_headers(&self.headers, headers);
         headers.remove(HOST);
-        headers.insert(REQUEST_ID_HEADER, text_value(&self.request_id()));
+        headers.insert(REQUEST_ID_HEADER, header_value(&self.request_id()));
         headers.insert(ATTEMPT_HEADER, HeaderValue::from(self.attempt));
         let millis = u64::try_from(limit.as_millis()).unwrap_or(u64::MAX);
         headers.insert(ATTEMPT_LIMIT_HEADER, HeaderValue::from(millis));
         Ok(request)
     }
 
-    /// Checks that an answer is the one to this attempt, where the upstream says so.
-    fn own_answer(&self, response: &Response<Bytes>) -> bool {
+    /// Checks that an answer belongs to this attempt, by the id and attempt number that the upstream
+    /// returned. An answer without these headers is accepted.
+    fn matches_attempt(&self, response: &Response<Bytes>) -> bool {
         let id = text_header(response.headers(), &HeaderName::from_static(REQUEST_ID_HEADER));
         let attempt = text_header(response.headers(), &HeaderName::from_static(ATTEMPT_HEADER));
         id.is_none_or(|id| id == self.request_id())
             && attempt.is_none_or(|attempt| attempt == self.attempt.to_string())
     }
 
-    fn pass_back(&self, response: Response<Bytes>) -> Response<Bytes> {
+    fn caller_response(&self, response: Response<Bytes>) -> Response<Bytes> {
         let (parts, body) = response.into_parts();
         let mut answer = Response::new(body);
         *answer.status_mut() = parts.status;
@@ -298,17 +304,18 @@
         answer
     }
 
-    /// No slot here: another entry may have one.
-    async fn rejected(&self, reason: RejectReason, advice: Duration) -> Response<Bytes> {
-        let elsewhere = matches!(reason, RejectReason::NoUpstream | RejectReason::Overloaded);
-        if elsewhere && !self.identity.handed_over {
+    /// Answers a request for which this entry has no slot: forwards it to another entry with free slots,
+    /// or rejects it.
+    async fn reject(&self, reason: RejectReason, retry_after: Duration) -> Response<Bytes> {
+        let may_hand_over = matches!(reason, RejectReason::NoUpstream | RejectReason::Overloaded);
+        if may_hand_over && !self.identity.handed_over {
             let entries =
                 self.context.router_state().peer_slots.get(&self.identity.service).cloned();
             for entry in entries.unwrap_or_default().iter().take(2) {
                 match self.hand_over(entry).await {
                     AttemptEnd::Answered(response) => return response,
                     AttemptEnd::NotRun(detail) => debug!("{entry} was not reached: {detail}"),
-                    AttemptEnd::Unknown(detail, _) => return failed(&detail, RunState::Unknown),
+                    AttemptEnd::Unknown(detail, _) => return failure(&detail, RunState::Unknown),
                 }
             }
         }
@@ -320,34 +327,34 @@
         };
         let detail = format!("the request to {} was not run", self.identity.service);
         let problem = ProblemDetails::new(status, title, detail);
-        problem.ran(RunState::No).retry_after(advice).bytes_response()
+        problem.ran(RunState::No).retry_after(retry_after).bytes_response()
     }
 
-    /// Hands the request to another entry, which answers as it would its own caller.
+    /// Forwards the request to another entry, which answers it like a request of its own callers.
     async fn hand_over(&self, entry: &EntryId) -> AttemptEnd {
         let Some(address) = self.context.peers.get(entry) else {
             return AttemptEnd::NotRun("unknown entry".to_owned());
         };
-        let left = self.identity.deadline.saturating_duration_since(Instant::now());
-        let path = format!("http://{address}/s/{}{}", self.identity.service, self.identity.target);
-        let built = Request::builder()
+        let time_left = self.identity.deadline.saturating_duration_since(Instant::now());
+        let uri = format!("http://{address}/s/{}{}", self.identity.service, self.identity.target);
+        let request = Request::builder()
             .method(self.method.clone())
-            .uri(path)
+            .uri(uri)
             .body(Full::new(self.body.clone()));
-        let mut request = match built {
+        let mut request = match request {
             Ok(request) => request,
             Err(error) => return AttemptEnd::NotRun(error.to_string()),
         };
         let headers = request.headers_mut();
         copy_headers(&self.headers, headers);
         headers.remove(HOST);
-        headers.insert(HANDED_HEADER, text_value(&self.context.entry));
-        let millis = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
+        headers.insert(HANDED_OVER_HEADER, header_value(&self.context.entry));
+        let millis = u64::try_from(time_left.as_millis()).unwrap_or(u64::MAX);
         headers.insert(DEADLINE_HEADER, HeaderValue::from(millis));
         metrics::counter!("kelplink_handed_over_total").increment(1);
-        let most = self.context.limits.answer_bytes;
-        match self.context.peer_client.send(request, left + LIMIT_MARGIN, most).await {
-            Ok(response) => judge_handed(response),
+        let max_bytes = self.context.limits.answer_bytes;
+        match self.context.peer_client.send(request, time_left + ATTEMPT_MARGIN, max_bytes).await {
+            Ok(response) => classify_peer_answer(response),
             Err(ClientError::NotSent(detail) | ClientError::Refused(detail)) => {
                 AttemptEnd::NotRun(detail)
             }
@@ -358,11 +365,12 @@
     }
 }
 
-/// Another entry's word is taken as it is; only its "no" leads on to the next entry.
-fn judge_handed(response: Response<Bytes>) -> AttemptEnd {
+/// Passes the answer of another entry on unchanged, unless it says that the request was not run; then
+/// the next entry can be tried.
+fn classify_peer_answer(response: Response<Bytes>) -> AttemptEnd {
     let ran = text_header(response.headers(), &HeaderName::from_static(RAN_HEADER));
     match ran.as_deref() {
-        Some("no") => AttemptEnd::NotRun("the other entry has no room".to_owned()),
+        Some("no") => AttemptEnd::NotRun("the other entry has no free slot".to_owned()),
         _ => {
             let (parts, body) = response.into_parts();
             let mut answer = Response::new(body);
@@ -373,9 +381,9 @@
     }
 }
 
-/// Copies all headers but those that concern one connection.
+/// Copies all headers except the hop-by-hop ones and the content length.
 fn copy_headers(from: &HeaderMap, to: &mut HeaderMap) {
-    let named: Vec<String> = from
+    let connection_options: Vec<String> = from
         .get_all(CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
@@ -383,18 +391,19 @@
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
     for (name, value) in from {
-        let hop = HOP_HEADERS.contains(&name.as_str()) || named.iter().any(|n| n == name.as_str());
-        if !hop && name != CONTENT_LENGTH {
+        let hop_by_hop = HOP_BY_HOP_HEADERS.contains(&name.as_str())
+            || connection_options.iter().any(|n| n == name.as_str());
+        if !hop_by_hop && name != CONTENT_LENGTH {
             to.append(name.clone(), value.clone());
         }
     }
 }
 
-fn text_value(text: &str) -> HeaderValue {
+fn header_value(text: &str) -> HeaderValue {
     HeaderValue::from_str(text).unwrap_or(HeaderValue::from_static("-"))
 }
 
-fn failed(detail: &str, ran: RunState) -> Response<Bytes> {
+fn failure(detail: &str, ran: RunState) -> Response<Bytes> {
     let (status, title) = match ran {
         RunState::No => (StatusCode::SERVICE_UNAVAILABLE, "not run"),
         _ => (StatusCode::BAD_GATEWAY, "may have run"),
--- a/src/callers/identify.rs
+++ b/src/callers/identify.rs
@@ -1,4 +1,4 @@
-//! First filter: which service is asked for, and how.
+//! First filter: determines the requested service and the options of the request.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -12,23 +12,23 @@
 
 use crate::callers::context::CallerContext;
 use crate::callers::{
-    DEADLINE_HEADER, HANDED_HEADER, IDEMPOTENT_HEADER, KEY_HEADER, URGENCY_HEADER,
+    DEADLINE_HEADER, HANDED_OVER_HEADER, IDEMPOTENT_HEADER, KEY_HEADER, URGENCY_HEADER,
 };
 use crate::id::{ServiceId, WorkspaceId};
 use crate::intent::Urgency;
 use crate::intent_file::is_name;
 use crate::problem::{ProblemDetails, RunState};
 
-/// How long a caller waits who does not say.
+/// Deadline of a request without a deadline header.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(10);
-/// Longest time that a caller may wait.
-const LONGEST_DEADLINE: Duration = Duration::from_secs(600);
-/// Advice on when to come back to an entry that is starting.
-const NOT_READY_RETRY: Duration = Duration::from_secs(1);
-/// Longest key.
+/// Longest deadline that a caller may set.
+const MAX_DEADLINE: Duration = Duration::from_secs(600);
+/// Value of `Retry-After` while the entry is starting.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
-/// What is known of a request before its body is read.
+/// What is known about a request before its body is read.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestIdentity {
     pub(crate) service: ServiceId,
@@ -39,13 +39,13 @@
     pub(crate) deadline: Instant,
     pub(crate) idempotent: bool,
     pub(crate) key: Option<String>,
-    /// Whether another entry handed it over.
+    /// Whether another entry forwarded the request.
     pub(crate) handed_over: bool,
 }
 
 impl StateData for RequestIdentity {}
 
-/// Reads path and headers.
+/// Filter that reads the path and the headers.
 #[derive(Clone, Copy, Debug, NewMiddleware)]
 pub(crate) struct IdentifyFilter;
 
@@ -73,14 +73,14 @@
     let (workspace, name, target) = split_path(Uri::borrow_from(state))?;
     let service: ServiceId = format!("{workspace}/{name}").into();
     let defaults = context.defaults(&service);
-    let known = defaults.is_some() || context.router_state().router.serves(&service);
-    let elsewhere = context.router_state().peer_slots.contains_key(&service);
-    if !known && !context.router_state().router.supplied() {
+    let is_known = defaults.is_some() || context.router_state().router.serves(&service);
+    let known_to_peer = context.router_state().peer_slots.contains_key(&service);
+    if !is_known && !context.router_state().router.supplied() {
         let detail = "this entry has no slots yet";
         let problem = ProblemDetails::new(StatusCode::SERVICE_UNAVAILABLE, "not ready", detail);
-        return Err(problem.retry_after(NOT_READY_RETRY));
+        return Err(problem.retry_after(NOT_READY_RETRY_AFTER));
     }
-    if !known && !elsewhere {
+    if !is_known && !known_to_peer {
         let detail = format!("no service {service} is known here");
         return Err(ProblemDetails::new(StatusCode::NOT_FOUND, "unknown service", detail));
     }
@@ -89,16 +89,21 @@
         Some("now") => Urgency::Now,
         Some("soon") => Urgency::Soon,
         Some(other) => {
-            return Err(bad(format!("{URGENCY_HEADER} is {other:?}: expected now or soon")));
+            return Err(bad_request(format!(
+                "{URGENCY_HEADER} is {other:?}: expected now or soon"
+            )));
         }
     };
-    let safe = matches!(*Method::borrow_from(state), Method::GET | Method::HEAD | Method::OPTIONS);
+    let safe_method =
+        matches!(*Method::borrow_from(state), Method::GET | Method::HEAD | Method::OPTIONS);
     let idempotent = match header(headers, IDEMPOTENT_HEADER)? {
-        None => safe || defaults.is_none_or(|defaults| defaults.idempotent),
+        None => safe_method || defaults.is_none_or(|defaults| defaults.idempotent),
         Some("true") => true,
         Some("false") => false,
         Some(other) => {
-            return Err(bad(format!("{IDEMPOTENT_HEADER} is {other:?}: expected true or false")));
+            return Err(bad_request(format!(
+                "{IDEMPOTENT_HEADER} is {other:?}: expected true or false"
+            )));
         }
     };
     Ok(RequestIdentity {
@@ -106,10 +111,10 @@
         workspace: workspace.into(),
         target,
         rank: u8::from(urgency != Urgency::Now),
-        deadline: Instant::now() + deadline(headers)?,
+        deadline: Instant::now() + decode_deadline(headers)?,
         idempotent,
-        key: key(headers)?,
-        handed_over: headers.contains_key(HANDED_HEADER),
+        key: decode_key(headers)?,
+        handed_over: headers.contains_key(HANDED_OVER_HEADER),
     })
 }
 
@@ -119,7 +124,7 @@
     let workspace = parts.next().unwrap_or_default().to_owned();
     let name = parts.next().unwrap_or_default().to_owned();
     if !is_name(&workspace) || !is_name(&name) {
-        return Err(bad("expected a path like /s/WORKSPACE/SERVICE/...".to_owned()));
+        return Err(bad_request("expected a path like /s/WORKSPACE/SERVICE/...".to_owned()));
     }
     let rest = parts.next().unwrap_or_default();
     let query = uri.query().map(|query| format!("?{query}")).unwrap_or_default();
@@ -130,31 +135,33 @@
     match headers.get(name).map(|value| value.to_str()) {
         None => Ok(None),
         Some(Ok(text)) => Ok(Some(text)),
-        Some(Err(_)) => Err(bad(format!("{name} has bytes that are not visible ASCII"))),
+        Some(Err(_)) => Err(bad_request(format!("{name} has bytes that are not visible ASCII"))),
     }
 }
 
-fn deadline(headers: &HeaderMap) -> Result<Duration, ProblemDetails> {
+fn decode_deadline(headers: &HeaderMap) -> Result<Duration, ProblemDetails> {
     let Some(text) = header(headers, DEADLINE_HEADER)? else {
         return Ok(DEFAULT_DEADLINE);
     };
     let time = text.parse().map(Duration::from_millis).ok();
-    time.filter(|time| *time <= LONGEST_DEADLINE).ok_or_else(|| {
-        let most = LONGEST_DEADLINE.as_millis();
-        bad(format!("{DEADLINE_HEADER} is {text:?}: expected 0 to {most} milliseconds"))
+    time.filter(|time| *time <= MAX_DEADLINE).ok_or_else(|| {
+        let max_millis = MAX_DEADLINE.as_millis();
+        bad_request(format!(
+            "{DEADLINE_HEADER} is {text:?}: expected 0 to {max_millis} milliseconds"
+        ))
     })
 }
 
-fn key(headers: &HeaderMap) -> Result<Option<String>, ProblemDetails> {
+fn decode_key(headers: &HeaderMap) -> Result<Option<String>, ProblemDetails> {
     let Some(text) = header(headers, KEY_HEADER)? else {
         return Ok(None);
     };
     match (1..=MAX_KEY_BYTES).contains(&text.len()) {
         true => Ok(Some(text.to_owned())),
-        false => Err(bad(format!("{KEY_HEADER} must have 1 to {MAX_KEY_BYTES} bytes"))),
+        false => Err(bad_request(format!("{KEY_HEADER} must have 1 to {MAX_KEY_BYTES} bytes"))),
     }
 }
 
-fn bad(detail: String) -> ProblemDetails {
+fn bad_request(detail: String) -> ProblemDetails {
     ProblemDetails::new(StatusCode::BAD_REQUEST, "bad request", detail)
 }
--- a/src/callers/jobs.rs
+++ b/src/callers/jobs.rs
@@ -1,4 +1,4 @@
-//! Callers' interface for batch and all-at-once jobs.
+//! The callers' interface for batch and all-at-once jobs.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 use crate::message::{CallRefusal, ClientAnswer, ClientCall, JobRequest};
 use crate::problem::{ProblemDetails, RunState, json_response};
 
-/// Longest time for an answer.
-const ANSWER_TIME: Duration = Duration::from_secs(5);
-/// Advice on when to come back.
+/// Timeout for an answer of the control loop.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Value of `Retry-After`.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Body of a submit.
+/// Body of a request that submits a job.
 #[derive(Debug)]
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -31,7 +31,7 @@
     intent: String,
     /// Number of tasks.
     count: Option<u32>,
-    /// What to run.
+    /// Command to run.
     command: Option<String>,
 }
 
@@ -60,10 +60,10 @@
     let call = match (method.as_str(), parts.as_slice()) {
         ("POST", ["v1", "workspaces", workspace, "jobs"]) => {
             let bytes = collect(body, &context.limits).await?;
-            submit(workspace, &bytes)?
+            decode_submit(workspace, &bytes)?
         }
         ("GET", ["v1", "workspaces", workspace, "jobs"]) => {
-            return list(context, workspace).await;
+            return list_jobs(context, workspace).await;
         }
         ("GET", ["v1", "workspaces", workspace, "jobs", id]) => {
             ClientCall::Job(format!("{workspace}/{id}").into())
@@ -79,27 +79,27 @@
         ClientCall::Submit(_) => StatusCode::ACCEPTED,
         _ => StatusCode::OK,
     };
-    match context.calls.call(call, ANSWER_TIME).await {
+    match context.control.call(call, ANSWER_TIMEOUT).await {
         ClientAnswer::Job(view) => Ok(json_response(status, &view)),
-        ClientAnswer::Refused(refusal) => Err(problem(&refusal)),
-        _ => Err(problem(&CallRefusal::Unknown)),
+        ClientAnswer::Refused(refusal) => Err(refusal_problem(&refusal)),
+        _ => Err(refusal_problem(&CallRefusal::Unknown)),
     }
 }
 
-fn submit(workspace: &str, bytes: &[u8]) -> Result<ClientCall, ProblemDetails> {
+fn decode_submit(workspace: &str, bytes: &[u8]) -> Result<ClientCall, ProblemDetails> {
     let body: SubmitBody = serde_json::from_slice(bytes).map_err(|error| {
         ProblemDetails::new(StatusCode::BAD_REQUEST, "bad job", error.to_string()).ran(RunState::No)
     })?;
     let count_fits = body.count.is_none_or(|count| (1..=MAX_TASKS).contains(&u64::from(count)));
-    let fault = match () {
+    let mistake = match () {
         () if !is_name(workspace) => Some("the workspace is not a name"),
         () if !is_name(&body.id) => Some("`id` is not a name: letters, digits, `-`, `_`, `.`"),
         () if !is_name(&body.intent) => Some("`intent` is not a name"),
         () if !count_fits => Some("`count` must be 1 to 10000"),
         () => None,
     };
-    if let Some(fault) = fault {
-        let problem = ProblemDetails::new(StatusCode::BAD_REQUEST, "bad job", fault);
+    if let Some(mistake) = mistake {
+        let problem = ProblemDetails::new(StatusCode::BAD_REQUEST, "bad job", mistake);
         return Err(problem.ran(RunState::No));
     }
     Ok(ClientCall::Submit(JobRequest {
@@ -110,28 +110,33 @@
     }))
 }
 
-/// Jobs of all failure domains that answer; the others are named.
-async fn list(context: &CallerContext, workspace: &str) -> Result<Response<Body>, ProblemDetails> {
+/// Lists the jobs of all failure domains that answer, and the names of those that do not.
+async fn list_jobs(
+    context: &CallerContext,
+    workspace: &str,
+) -> Result<Response<Body>, ProblemDetails> {
     let mut jobs = Vec::new();
-    let mut silent = Vec::new();
+    let mut silent_domains = Vec::new();
     for domain in context.domains.iter() {
         let prefix = format!("{workspace}/");
         let call = ClientCall::Jobs { domain: domain.clone(), prefix };
-        match context.calls.call(call, ANSWER_TIME).await {
+        match context.control.call(call, ANSWER_TIMEOUT).await {
             ClientAnswer::Jobs(found) => jobs.extend(found),
-            _ => silent.push(domain.clone()),
+            _ => silent_domains.push(domain.clone()),
         }
     }
-    let body = serde_json::json!({ "jobs": jobs, "silent_failure_domains": silent });
+    let body = serde_json::json!({ "jobs": jobs, "silent_failure_domains": silent_domains });
     Ok(json_response(StatusCode::OK, &body))
 }
 
-fn problem(refusal: &CallRefusal) -> ProblemDetails {
+fn refusal_problem(refusal: &CallRefusal) -> ProblemDetails {
     let no = RunState::No;
     match refusal {
-        CallRefusal::NoLeader => later("no leader of its failure domain can be reached").ran(no),
-        CallRefusal::StoreDown => later("the platform's store cannot be reached").ran(no),
-        CallRefusal::Busy => later("too much waits").ran(no),
+        CallRefusal::NoLeader => {
+            unavailable("no leader of its failure domain can be reached").ran(no)
+        }
+        CallRefusal::StoreDown => unavailable("the platform's store cannot be reached").ran(no),
+        CallRefusal::Busy => unavailable("too much waits").ran(no),
         CallRefusal::NotFound(detail) => {
             ProblemDetails::new(StatusCode::NOT_FOUND, "not found", detail.as_str()).ran(no)
         }
@@ -151,6 +156,6 @@
     }
 }
 
-fn later(detail: &str) -> ProblemDetails {
+fn unavailable(detail: &str) -> ProblemDetails {
     ProblemDetails::new(StatusCode::SERVICE_UNAVAILABLE, "not now", detail).retry_after(RETRY_AFTER)
 }
--- a/src/callers/limit.rs
+++ b/src/callers/limit.rs
@@ -1,4 +1,4 @@
-//! Second filter: the body, whole and within its bound.
+//! Second filter: collects the body, within limits on its size and time.
 
 use std::pin::Pin;
 
@@ -15,13 +15,13 @@
 use crate::problem::{ProblemDetails, RunState};
 use crate::settings::LimitSettings;
 
-/// The body of a request.
+/// The complete body of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct CollectedBody(pub(crate) Bytes);
 
 impl StateData for CollectedBody {}
 
-/// Collects the body.
+/// Filter that collects the body.
 #[derive(Clone, Copy, Debug, NewMiddleware)]
 pub(crate) struct LimitFilter;
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Collects a body within the bounds on its size and time.
+/// Collects a body within the limits on its size and time.
 pub(crate) async fn collect(body: Body, limits: &LimitSettings) -> Result<Bytes, ProblemDetails> {
     let limited = Limited::new(body, limits.request_bytes).collect();
     match timeout(limits.body_time, limited).await {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -3,38 +3,38 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// A cluster scheduler for unlike workloads.
+    /// A cluster scheduler for mixed workloads.
     cmd kelplink {
-        /// Run an entry process; without settings, the platform's file that KELPLINK_SETTINGS names.
+        /// Run an entry process. Without --settings, use the platform's file named by KELPLINK_SETTINGS.
         cmd serve {
             /// Settings file in TOML.
             optional --settings file: PathBuf
         }
         /// Check settings without running anything.
         cmd settings {
-            /// Report every finding with its place; exit code 1 where there is one.
+            /// Report every error with its position. Exit code 1 if there is any.
             cmd check {
                 /// Settings file in TOML.
                 required file: PathBuf
             }
         }
         /// Show what would change if an intent were accepted; writes the plan to standard output
-        /// with --json. Exit code 3 where the plan is refused.
+        /// with --json. Exit code 3 if the plan is refused.
         cmd plan {
             /// Intent file in TOML, or WORKSPACE/NAME with --withdraw.
             required intent: String
-            /// Plan to withdraw the intent of this name.
+            /// Plan to withdraw the intent with this name.
             optional --withdraw
-            /// Where the entry answers operators.
+            /// Address of the entry's operator interface.
             optional --entry address: String
             /// Print JSON.
             optional --json
         }
-        /// Put a plan in force. Exit code 3 where it was refused, 4 where it is not settled.
+        /// Put a plan in force. Exit code 3 if it is refused, 4 if the result is not known.
         cmd confirm {
-            /// Plan file in JSON; standard input where absent.
+            /// Plan file in JSON; standard input if absent.
             optional plan: PathBuf
-            /// Where the entry answers operators.
+            /// Address of the entry's operator interface.
             optional --entry address: String
             /// Print JSON.
             optional --json
@@ -43,35 +43,35 @@
         cmd cancel {
             /// The job.
             required job: String
-            /// Where the entry answers callers.
+            /// Address of the entry's caller interface.
             optional --entry address: String
             /// Print JSON.
             optional --json
         }
         /// Show entries, failure domains and intents.
         cmd status {
-            /// Where the entry answers operators.
+            /// Address of the entry's operator interface.
             optional --entry address: String
             /// Print JSON.
             optional --json
         }
         /// Show the state of one process as JSON.
         cmd dump {
-            /// Where the entry answers operators.
+            /// Address of the entry's operator interface.
             optional --entry address: String
         }
-        /// Play the platform and its VMs.
+        /// Run a stand-in for the platform and its VMs.
         cmd stand-in {
             /// Settings file in TOML.
             required --settings file: PathBuf
         }
-        /// Run everything in one process for a while and check what must hold.
+        /// Run a whole cluster in one process for a while and check its invariants.
         cmd demo {
             /// Seed of the workload.
             optional --seed number: u64
-            /// Callers that send requests at a time.
+            /// Number of callers that send requests concurrently.
             optional --callers number: u32
-            /// Batch jobs that are submitted.
+            /// Number of batch jobs to submit.
             optional --jobs number: u32
         }
     }
--- a/src/command.rs
+++ b/src/command.rs
@@ -1,4 +1,4 @@
-//! What the commands do.
+//! Implementation of the commands.
 
 use std::fs;
 use std::io::Write;
@@ -26,29 +26,29 @@
 use crate::settings::EntrySettings;
 use crate::standin::{StandInServer, StandInSettings};
 
-/// Where an entry answers operators by default.
-const OPERATORS: &str = "127.0.0.1:7101";
-/// Where an entry answers callers by default.
-const CALLERS: &str = "127.0.0.1:7100";
-/// Longest time for an answer.
-const ANSWER_TIME: Duration = Duration::from_secs(15);
-/// Largest answer, in bytes.
-const ANSWER_BYTES: usize = 64 << 20;
-/// Interval at which a running process looks after its threads.
+/// Default address of the operators' interface.
+const DEFAULT_OPERATORS_ADDRESS: &str = "127.0.0.1:7101";
+/// Default address of the callers' interface.
+const DEFAULT_CALLERS_ADDRESS: &str = "127.0.0.1:7100";
+/// Timeout for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
+/// Maximum size of an answer, in bytes.
+const MAX_ANSWER_BYTES: usize = 64 << 20;
+/// Interval at which a running process checks its threads.
 const WATCH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Exit code of a check with findings and of every error.
+/// Exit code of a check that found errors, and of every other failure.
 const EXIT_FAILED: u8 = 1;
-/// Exit code of a plan that is refused.
+/// Exit code if a plan is refused.
 const EXIT_REFUSED: u8 = 3;
-/// Exit code of a confirm that may be in force yet.
+/// Exit code of a confirm whose plan may still be accepted.
 const EXIT_UNSETTLED: u8 = 4;
 
 macro_rules! print_line {
     ($($part:tt)*) => { print_line(format_args!($($part)*)) };
 }
 
-/// Runs the command that the process was started with.
+/// Runs the command given on the command line.
 pub fn run_command() -> ExitCode {
     let flags = Kelplink::from_env_or_exit();
     match run(flags) {
@@ -88,8 +88,8 @@
     }
 }
 
-fn exit_code(good: bool) -> ExitCode {
-    match good {
+fn exit_code(success: bool) -> ExitCode {
+    match success {
         true => ExitCode::SUCCESS,
         false => ExitCode::from(EXIT_FAILED),
     }
@@ -102,13 +102,13 @@
     Ok(handle)
 }
 
-fn read(path: &Path) -> Result<String> {
+fn read_text(path: &Path) -> Result<String> {
     let bytes = fs::read(path).with_context(|| path.display().to_string())?;
     String::from_utf8(bytes).with_context(|| format!("{} is not UTF-8", path.display()))
 }
 
 fn load_settings(path: &Path) -> Result<std::result::Result<EntrySettings, DiagnosticList>> {
-    let text = read(path)?;
+    let text = read_text(path)?;
     Ok(EntrySettings::parse(&path.display().to_string(), &text))
 }
 
@@ -118,8 +118,8 @@
             print_line!("{}: no findings", path.display());
             Ok(ExitCode::SUCCESS)
         }
-        Err(findings) => {
-            eprint!("{findings}");
+        Err(diagnostics) => {
+            eprint!("{diagnostics}");
             Ok(ExitCode::from(EXIT_FAILED))
         }
     }
@@ -128,8 +128,8 @@
 fn run_serve(path: &Path) -> Result<ExitCode> {
     let settings = match load_settings(path)? {
         Ok(settings) => settings,
-        Err(findings) => {
-            eprint!("{findings}");
+        Err(diagnostics) => {
+            eprint!("{diagnostics}");
             return Ok(ExitCode::from(EXIT_FAILED));
         }
     };
@@ -138,13 +138,13 @@
         entry: settings.name.to_string(),
     });
     let process = EntryProcess::start(&settings, start_metrics()?)?;
-    match wait_for_signal(|| process.broken())? {
+    match wait_for_signal(|| process.has_ended_thread())? {
         true => bail!("a thread of the process has ended"),
         false => {
-            let force = std::thread::spawn(|| wait_for_signal(|| false));
+            let second_signal = std::thread::spawn(|| wait_for_signal(|| false));
             let drain = std::thread::spawn(move || process.drain());
             while !drain.is_finished() {
-                if force.is_finished() {
+                if second_signal.is_finished() {
                     eprintln!("kelplink: second signal: requests in flight are cut");
                     return Ok(ExitCode::from(EXIT_FAILED));
                 }
@@ -155,15 +155,15 @@
     }
 }
 
-/// Runs on the platform, whose settings file a variable names.
+/// Runs the process on the platform, with the settings file that an environment variable names.
 fn run_node() -> Result<ExitCode> {
     let path = std::env::var_os(SETTINGS_VARIABLE)
         .with_context(|| format!("neither --settings nor {SETTINGS_VARIABLE} names a file"))?;
     let path = Path::new(&path);
-    let settings = match parse_platform_settings(&path.display().to_string(), &read(path)?) {
+    let settings = match parse_platform_settings(&path.display().to_string(), &read_text(path)?) {
         Ok(settings) => settings,
-        Err(findings) => {
-            eprint!("{findings}");
+        Err(diagnostics) => {
+            eprint!("{diagnostics}");
             return Ok(ExitCode::from(EXIT_FAILED));
         }
     };
@@ -175,8 +175,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Waits for a signal to stop; gives true where `broken` turned true before.
-fn wait_for_signal(broken: impl Fn() -> bool) -> Result<bool> {
+/// Waits for a termination signal. Returns true if `failed` turned true before a signal arrived.
+fn wait_for_signal(failed: impl Fn() -> bool) -> Result<bool> {
     let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate())?;
@@ -186,7 +186,7 @@
                 _ = terminate.recv() => return Ok(false),
                 _ = interrupt.recv() => return Ok(false),
                 () = tokio::time::sleep(WATCH_INTERVAL) => {
-                    if broken() {
+                    if failed() {
                         return Ok(true);
                     }
                 }
@@ -196,23 +196,23 @@
 }
 
 fn run_stand_in(path: &Path) -> Result<ExitCode> {
-    let text = read(path)?;
+    let text = read_text(path)?;
     let settings = match StandInSettings::parse(&path.display().to_string(), &text) {
         Ok(settings) => settings,
-        Err(findings) => {
-            eprint!("{findings}");
+        Err(diagnostics) => {
+            eprint!("{diagnostics}");
             return Ok(ExitCode::from(EXIT_FAILED));
         }
     };
     let _log = start_logging(LogIdentity::default());
     let server = StandInServer::start(&settings)?;
     print_line!("store on {}, list of VMs on {}", settings.store, settings.vms);
-    let broken = wait_for_signal(|| server.ended())?;
+    let failed = wait_for_signal(|| server.ended())?;
     server.stop();
-    Ok(exit_code(!broken))
+    Ok(exit_code(!failed))
 }
 
-fn ask(
+fn send_request(
     method: Method,
     address: &Option<String>,
     default: &str,
@@ -223,41 +223,44 @@
     let socket = address.parse().with_context(|| format!("{address}: expected HOST:PORT"))?;
     let runtime = runtime::Builder::new_current_thread().enable_all().build()?;
     let http = runtime.block_on(async {
-        HttpClient::new().call(method, socket, path, body, ANSWER_TIME, ANSWER_BYTES).await
+        HttpClient::new().call(method, socket, path, body, ANSWER_TIMEOUT, MAX_ANSWER_BYTES).await
     });
     http.map_err(|error| anyhow!("{address} did not answer: {error:?}"))
 }
 
-/// Prints a line; a reader that went away ends the command without a panic.
+/// Prints a line. If standard output is closed, the process exits instead of panicking.
 fn print_line(line: std::fmt::Arguments<'_>) {
     if writeln!(std::io::stdout(), "{line}").is_err() {
         std::process::exit(i32::from(EXIT_FAILED));
     }
 }
 
-fn text(response: &Response<bytes::Bytes>) -> String {
+fn body_text(response: &Response<bytes::Bytes>) -> String {
     String::from_utf8_lossy(response.body()).into_owned()
 }
 
 fn run_plan(plan: &Plan) -> Result<ExitCode> {
     let (path, body) = match plan.withdraw {
         true => (format!("/v1/plan?withdraw={}", plan.intent), String::new()),
-        false => ("/v1/plan".to_owned(), read(Path::new(&plan.intent))?),
+        false => ("/v1/plan".to_owned(), read_text(Path::new(&plan.intent))?),
     };
-    let response = ask(Method::POST, &plan.entry, OPERATORS, &path, body)?;
+    let response = send_request(Method::POST, &plan.entry, DEFAULT_OPERATORS_ADDRESS, &path, body)?;
     match response.status() {
         StatusCode::OK => {}
         StatusCode::UNPROCESSABLE_ENTITY => {
-            let mut findings: DiagnosticList = serde_json::from_slice(response.body())?;
-            findings.0.iter_mut().for_each(|diagnostic| diagnostic.source.clone_from(&plan.intent));
-            eprint!("{findings}");
+            let mut diagnostics: DiagnosticList = serde_json::from_slice(response.body())?;
+            diagnostics
+                .0
+                .iter_mut()
+                .for_each(|diagnostic| diagnostic.source.clone_from(&plan.intent));
+            eprint!("{diagnostics}");
             return Ok(ExitCode::from(EXIT_FAILED));
         }
-        _ => bail!("{}", text(&response)),
+        _ => bail!("{}", body_text(&response)),
     }
     let document: PlanDocument = serde_json::from_slice(response.body())?;
     match plan.json {
-        true => print_line!("{}", text(&response)),
+        true => print_line!("{}", body_text(&response)),
         false => print_plan(&document),
     }
     match document.refusal() {
@@ -294,32 +297,35 @@
 
 fn run_confirm(confirm: &Confirm) -> Result<ExitCode> {
     let body = match &confirm.plan {
-        Some(path) => read(path)?,
+        Some(path) => read_text(path)?,
         None => std::io::read_to_string(std::io::stdin())?,
     };
-    let response = ask(Method::POST, &confirm.entry, OPERATORS, "/v1/confirm", body)?;
+    let response =
+        send_request(Method::POST, &confirm.entry, DEFAULT_OPERATORS_ADDRESS, "/v1/confirm", body)?;
     if confirm.json {
-        print_line!("{}", text(&response));
+        print_line!("{}", body_text(&response));
     }
     match response.status() {
         StatusCode::OK if confirm.json => Ok(ExitCode::SUCCESS),
         StatusCode::OK => {
-            print_line!("in force: {}", text(&response));
+            print_line!("in force: {}", body_text(&response));
             Ok(ExitCode::SUCCESS)
         }
         StatusCode::CONFLICT => {
-            eprintln!("another plan was accepted meanwhile; this is what would change now:");
+            eprintln!(
+                "another plan was accepted in the meantime; a new plan for the same request:"
+            );
             if let Ok(fresh) = serde_json::from_slice(response.body()) {
                 print_plan(&fresh);
             }
             Ok(ExitCode::from(EXIT_REFUSED))
         }
         StatusCode::GATEWAY_TIMEOUT => {
-            eprintln!("{}", text(&response));
+            eprintln!("{}", body_text(&response));
             Ok(ExitCode::from(EXIT_UNSETTLED))
         }
         _ => {
-            eprintln!("{}", text(&response));
+            eprintln!("{}", body_text(&response));
             Ok(ExitCode::from(EXIT_REFUSED))
         }
     }
@@ -330,12 +336,13 @@
         bail!("{}: expected WORKSPACE/ID", cancel.job);
     };
     let path = format!("/v1/workspaces/{workspace}/jobs/{id}");
-    let response = ask(Method::DELETE, &cancel.entry, CALLERS, &path, String::new())?;
+    let response =
+        send_request(Method::DELETE, &cancel.entry, DEFAULT_CALLERS_ADDRESS, &path, String::new())?;
     if response.status() != StatusCode::OK {
-        bail!("{}", text(&response));
+        bail!("{}", body_text(&response));
     }
     match cancel.json {
-        true => print_line!("{}", text(&response)),
+        true => print_line!("{}", body_text(&response)),
         false => {
             let view: JobView = serde_json::from_slice(response.body())?;
             print_line!("{} is cancelled; {} tasks still stop", cancel.job, view.running.len());
@@ -345,12 +352,18 @@
 }
 
 fn run_status(status: &Status) -> Result<ExitCode> {
-    let response = ask(Method::GET, &status.entry, OPERATORS, "/v1/status", String::new())?;
+    let response = send_request(
+        Method::GET,
+        &status.entry,
+        DEFAULT_OPERATORS_ADDRESS,
+        "/v1/status",
+        String::new(),
+    )?;
     if response.status() != StatusCode::OK {
-        bail!("{}", text(&response));
+        bail!("{}", body_text(&response));
     }
     match status.json {
-        true => print_line!("{}", text(&response)),
+        true => print_line!("{}", body_text(&response)),
         false => print_status(&serde_json::from_slice(response.body())?),
     }
     Ok(ExitCode::SUCCESS)
@@ -389,10 +402,10 @@
         "OF"
     );
     for (domain, summary) in &status.domains {
-        let shown = |v: &crate::resources::ResourceVector| {
+        let format_resources = |v: &crate::resources::ResourceVector| {
             format!("{:.1}/{}/{}", f64::from(v.millicores) / 1e3, v.memory_mib, v.accelerators)
         };
-        let (free, total) = (shown(&summary.free), shown(&summary.total));
+        let (free, total) = (format_resources(&summary.free), format_resources(&summary.total));
         print_line!("{domain:<16} {:>7} {free:>22} {total:>22}", summary.workers);
     }
     for (intent, count) in &status.intents {
@@ -401,7 +414,13 @@
 }
 
 fn run_dump(dump: &Dump) -> Result<ExitCode> {
-    let response = ask(Method::GET, &dump.entry, OPERATORS, "/v1/dump", String::new())?;
+    let response = send_request(
+        Method::GET,
+        &dump.entry,
+        DEFAULT_OPERATORS_ADDRESS,
+        "/v1/dump",
+        String::new(),
+    )?;
     let value: serde_json::Value = serde_json::from_slice(response.body())?;
     print_line!("{}", serde_json::to_string_pretty(&value)?);
     Ok(ExitCode::SUCCESS)
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,7 +1,7 @@
-//! An entry process: its threads and what joins them.
+//! An entry process: its threads and the rings between them.
 //!
-//! Each duty has a thread with a runtime of its own. Threads are joined by bounded rings only, and
-//! all decisions are made by [`crate::DomainController`] and [`crate::RequestRouter`].
+//! Each loop has its own thread and runtime. Threads communicate only through bounded rings, and all
+//! decisions are made by [`crate::DomainController`] and [`crate::RequestRouter`].
 
 mod control;
 mod operators;
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -1,4 +1,4 @@
-//! The duty of deciding: one thread owns the controllers of the failure domain.
+//! The control loop: one thread that owns the controllers of the failure domain.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,19 +18,19 @@
 use crate::message::{CallRefusal, ClientAnswer, ClientCall};
 use crate::ring::{RingReceiver, RingSender};
 
-/// Interval at which time passes for the controllers.
-const TICK: Duration = Duration::from_millis(25);
-/// Events handled before the thread looks at its clock again.
-const BURST: usize = 64;
+/// Interval between two ticks of the controllers.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Maximum number of inputs handled in a row before the clock is checked again.
+const MAX_BURST: usize = 64;
 
-/// What comes to the deciding thread.
+/// Inputs of the control loop.
 #[derive(Debug)]
 pub(crate) enum ControlInput {
     /// An event for the controllers.
     Event(Box<DomainEvent>),
-    /// A call with the place for its answer.
+    /// A call and the channel for its answer.
     Call(ClientCall, oneshot::Sender<ClientAnswer>),
-    /// End the thread.
+    /// Ends the thread.
     Stop,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Where other threads hand in calls and wait for their answers.
+/// Handle with which other threads send calls and events to the control loop.
 #[derive(Clone, Debug)]
 pub(crate) struct ControlHandle {
     control: RingSender<ControlInput>,
@@ -51,7 +51,7 @@
         Self { control }
     }
 
-    /// Hands a call in and waits for its answer, for at most `time`.
+    /// Sends a call and waits for its answer, for at most `time`.
     pub(crate) async fn call(&self, call: ClientCall, time: Duration) -> ClientAnswer {
         let (sender, receiver) = oneshot::channel();
         if self.control.offer(ControlInput::Call(call, sender)).is_err() {
@@ -63,26 +63,26 @@
         }
     }
 
-    /// Hands in an event that nobody waits for.
-    pub(crate) fn tell(&self, event: DomainEvent) {
+    /// Sends an event without waiting; the event is dropped if the ring is full.
+    pub(crate) fn send_event(&self, event: DomainEvent) {
         let _ = self.control.offer(event.into());
     }
 }
 
-/// What other threads may know of the deciding thread without asking.
+/// Status of the control loop that other threads can read without a call.
 #[derive(Debug, Default)]
-pub(crate) struct ControlGauge {
+pub(crate) struct ControlStatus {
     /// Whether requests may be served.
     pub(crate) ready: AtomicBool,
-    /// Whether the router was given slots since the start.
+    /// Whether the router has been granted slots since the start.
     pub(crate) granted: AtomicBool,
-    /// Revision in force.
+    /// Revision of the configuration in force.
     pub(crate) revision: AtomicU64,
     /// Whether this entry leads its failure domain.
     pub(crate) leads: AtomicBool,
 }
 
-/// Rings to the other threads.
+/// Senders to the rings of the other threads.
 #[derive(Debug)]
 pub(crate) struct ControlOutputs {
     pub(crate) store: RingSender<StoreInput>,
@@ -91,16 +91,16 @@
     pub(crate) callers: RingSender<CallerInput>,
 }
 
-/// The deciding thread.
+/// The loop that makes the decisions of a failure domain.
 pub(crate) struct ControlLoop {
     controller: DomainController,
     input: RingReceiver<ControlInput>,
     outputs: ControlOutputs,
-    gauge: Arc<ControlGauge>,
-    calls: BTreeMap<CallId, oneshot::Sender<ClientAnswer>>,
+    status: Arc<ControlStatus>,
+    pending_calls: BTreeMap<CallId, oneshot::Sender<ClientAnswer>>,
     next_call: CallId,
-    /// Revision that callers' thread was told.
-    published: Revision,
+    /// Revision that was last sent to the callers' thread.
+    published_revision: Revision,
 }
 
 impl ControlLoop {
@@ -109,32 +109,32 @@
         unix: UnixMillis,
         input: RingReceiver<ControlInput>,
         outputs: ControlOutputs,
-        gauge: Arc<ControlGauge>,
+        status: Arc<ControlStatus>,
     ) -> Self {
         Self {
             controller: DomainController::new(Instant::now(), unix, identity),
             input,
             outputs,
-            gauge,
-            calls: BTreeMap::new(),
+            status,
+            pending_calls: BTreeMap::new(),
             next_call: 0,
-            published: 0,
+            published_revision: 0,
         }
     }
 
-    /// Runs until told to stop.
+    /// Runs until it is stopped.
     pub(crate) async fn run(mut self) {
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
                 biased;
-                _ = ticks.tick() => self.event(DomainEvent::Tick),
+                _ = ticks.tick() => self.handle_event(DomainEvent::Tick),
                 input = self.input.recv() => {
                     let Some(input) = input else {
                         return;
                     };
-                    if !self.take(input) || !self.burst() {
+                    if !self.handle_input(input) || !self.handle_burst() {
                         return;
                     }
                 }
@@ -143,41 +143,41 @@
         }
     }
 
-    fn burst(&mut self) -> bool {
-        for _ in 0..BURST {
+    fn handle_burst(&mut self) -> bool {
+        for _ in 0..MAX_BURST {
             let Some(input) = self.input.try_recv() else {
                 return true;
             };
-            if !self.take(input) {
+            if !self.handle_input(input) {
                 return false;
             }
         }
         true
     }
 
-    fn take(&mut self, input: ControlInput) -> bool {
+    fn handle_input(&mut self, input: ControlInput) -> bool {
         match input {
-            ControlInput::Event(event) => self.event(*event),
+            ControlInput::Event(event) => self.handle_event(*event),
             ControlInput::Call(call, sender) => {
                 self.next_call += 1;
-                self.calls.insert(self.next_call, sender);
-                self.event(DomainEvent::Call(self.next_call, call));
+                self.pending_calls.insert(self.next_call, sender);
+                self.handle_event(DomainEvent::Call(self.next_call, call));
             }
             ControlInput::Stop => return false,
         }
         true
     }
 
-    fn event(&mut self, event: DomainEvent) {
+    fn handle_event(&mut self, event: DomainEvent) {
         let started = Instant::now();
         for action in self.controller.handle(started, event) {
-            self.carry_out(action);
+            self.execute(action);
         }
         metrics::histogram!("kelplink_decision_seconds").record(started.elapsed().as_secs_f64());
     }
 
-    fn carry_out(&mut self, action: DomainAction) {
-        let taken = match action {
+    fn execute(&mut self, action: DomainAction) {
+        let accepted = match action {
             DomainAction::Store(owner, id, request) => {
                 let refused =
                     self.outputs.store.offer(StoreInput::Call(owner, id, request)).is_err();
@@ -185,7 +185,7 @@
                     let outcome = crate::store::StoreOutcome::Unavailable;
                     let event = DomainEvent::Store(owner, id, outcome);
                     for action in self.controller.handle(Instant::now(), event) {
-                        self.carry_out(action);
+                        self.execute(action);
                     }
                 }
                 true
@@ -196,7 +196,7 @@
                 if refused {
                     let event = DomainEvent::Worker(worker, id, None);
                     for action in self.controller.handle(Instant::now(), event) {
-                        self.carry_out(action);
+                        self.execute(action);
                     }
                 }
                 true
@@ -205,13 +205,13 @@
                 self.outputs.peers.offer(PeerInput::Send(peer, Box::new(message))).is_ok()
             }
             DomainAction::Answer(id, answer) => {
-                if let Some(sender) = self.calls.remove(&id) {
+                if let Some(sender) = self.pending_calls.remove(&id) {
                     let _ = sender.send(answer);
                 }
                 true
             }
             DomainAction::Grant(grant) => {
-                self.gauge.granted.store(true, Ordering::Relaxed);
+                self.status.granted.store(true, Ordering::Relaxed);
                 self.outputs.callers.offer(CallerInput::Grant(grant)).is_ok()
             }
             DomainAction::Leaving(leaving) => {
@@ -221,23 +221,23 @@
                 self.outputs.callers.offer(CallerInput::PeerSlots(peer_slots)).is_ok()
             }
         };
-        if !taken {
-            warn!("a thread does not keep up: a message was not taken");
+        if !accepted {
+            warn!("the ring of a thread is full: a message was dropped");
         }
     }
 
     fn publish(&mut self) {
         let revision = self.controller.revision();
-        if revision != self.published {
+        if revision != self.published_revision {
             let config = Arc::new(self.controller.config().clone());
             if self.outputs.callers.offer(CallerInput::Config(config)).is_ok() {
-                self.published = revision;
+                self.published_revision = revision;
             }
         }
-        let gauge = &self.gauge;
-        let granted = gauge.granted.load(Ordering::Relaxed);
-        gauge.ready.store(granted && self.controller.ready(), Ordering::Relaxed);
-        gauge.revision.store(revision, Ordering::Relaxed);
-        gauge.leads.store(self.controller.leads(), Ordering::Relaxed);
+        let status = &self.status;
+        let granted = status.granted.load(Ordering::Relaxed);
+        status.ready.store(granted && self.controller.ready(), Ordering::Relaxed);
+        status.revision.store(revision, Ordering::Relaxed);
+        status.leads.store(self.controller.leads(), Ordering::Relaxed);
     }
 }
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -1,4 +1,5 @@
-//! The duty of answering operators. It holds no state, so that nothing can make it hang.
+//! The operators' interface. It holds no state of its own, so that it answers even when other
+//! threads are stuck.
 
 use std::io;
 use std::pin::Pin;
@@ -23,30 +24,30 @@
 use crate::callers::CallerInput;
 use crate::config::{ConfirmRefusal, PlanDocument, PlanRequest};
 use crate::entry::ControlHandle;
-use crate::entry::control::ControlGauge;
+use crate::entry::control::ControlStatus;
 use crate::http::{ListenerLimits, PrepareState, serve_http};
 use crate::intent_file::parse_intent;
 use crate::message::{CallRefusal, ClientAnswer, ClientCall};
 use crate::problem::{ProblemDetails, full, json_response};
 use crate::ring::RingSender;
 
-/// Longest time for a duty to tell its state.
-const DUTY_TIME: Duration = Duration::from_millis(1_000);
-/// Longest time for a confirm.
-const CONFIRM_TIME: Duration = Duration::from_secs(12);
-/// Largest intent or plan, in bytes.
-const BODY_BYTES: usize = 4 << 20;
-/// Longest time for a body to arrive.
-const BODY_TIME: Duration = Duration::from_secs(5);
-/// Advice on when to come back.
+/// Timeout for the answer of another loop.
+const STATE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout for the confirmation of a plan.
+const CONFIRM_TIMEOUT: Duration = Duration::from_secs(12);
+/// Maximum size of an intent or plan, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
+/// Timeout for a body to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Value of `Retry-After`.
 const RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Shared by all requests of operators.
+/// Context shared by all requests of operators.
 #[derive(Clone)]
 pub(crate) struct OperatorContext {
-    pub(crate) calls: ControlHandle,
+    pub(crate) control: ControlHandle,
     pub(crate) callers: RingSender<CallerInput>,
-    pub(crate) gauge: Arc<ControlGauge>,
+    pub(crate) control_status: Arc<ControlStatus>,
     pub(crate) metrics: PrometheusHandle,
 }
 
@@ -54,7 +55,7 @@
 impl std::panic::RefUnwindSafe for OperatorContext {}
 impl StateData for OperatorContext {}
 
-/// The thread that answers operators.
+/// The loop that answers operators.
 pub(crate) struct OperatorLoop {
     context: OperatorContext,
 }
@@ -64,10 +65,10 @@
         Self { context }
     }
 
-    /// Runs until told to stop.
+    /// Runs until `stop` turns true.
     ///
     /// # Errors
-    /// Where the listener cannot be used.
+    /// Returns an error if the listener cannot be used.
     pub(crate) async fn run(
         self,
         listener: std::net::TcpListener,
@@ -113,50 +114,53 @@
         ("GET", "/livez") => Ok(json_response(StatusCode::OK, &json!({"live": true}))),
         ("GET", "/readyz") => Ok(ready(context)),
         ("GET", "/metrics") => Ok(metrics_page(context)),
-        ("GET", "/v1/status") => match context.calls.call(ClientCall::Status, DUTY_TIME).await {
-            ClientAnswer::Status(status) => Ok(json_response(StatusCode::OK, &status)),
-            _ => Err(silent()),
-        },
+        ("GET", "/v1/status") => {
+            match context.control.call(ClientCall::Status, STATE_TIMEOUT).await {
+                ClientAnswer::Status(status) => Ok(json_response(StatusCode::OK, &status)),
+                _ => Err(no_answer()),
+            }
+        }
         ("GET", "/v1/dump") => Ok(json_response(StatusCode::OK, &dump(context).await)),
-        ("POST", "/v1/plan") => plan(context, uri, &text(body).await?).await,
-        ("POST", "/v1/confirm") => confirm(context, &text(body).await?).await,
+        ("POST", "/v1/plan") => plan(context, uri, &read_body(body).await?).await,
+        ("POST", "/v1/confirm") => confirm(context, &read_body(body).await?).await,
         _ => Err(ProblemDetails::new(StatusCode::NOT_FOUND, "not found", uri.path())),
     }
 }
 
 fn ready(context: &OperatorContext) -> Response<Body> {
-    let ready = context.gauge.ready.load(Ordering::Relaxed);
+    let ready = context.control_status.ready.load(Ordering::Relaxed);
     let status = match ready {
         true => StatusCode::OK,
         false => StatusCode::SERVICE_UNAVAILABLE,
     };
-    let revision = context.gauge.revision.load(Ordering::Relaxed);
+    let revision = context.control_status.revision.load(Ordering::Relaxed);
     json_response(status, &json!({"ready": ready, "revision": revision}))
 }
 
 fn metrics_page(context: &OperatorContext) -> Response<Body> {
-    let leads = f64::from(u8::from(context.gauge.leads.load(Ordering::Relaxed)));
+    let leads = f64::from(u8::from(context.control_status.leads.load(Ordering::Relaxed)));
     metrics::gauge!("kelplink_leads").set(leads);
-    let revision = context.gauge.revision.load(Ordering::Relaxed) as f64;
+    let revision = context.control_status.revision.load(Ordering::Relaxed) as f64;
     metrics::gauge!("kelplink_revision").set(revision);
     context.metrics.run_upkeep();
     let mut response = Response::new(full(context.metrics.render()));
-    let kind = HeaderValue::from_static("text/plain; version=0.0.4");
-    response.headers_mut().insert(CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static("text/plain; version=0.0.4");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
 }
 
-/// The state of each duty; one that does not tell it in time is named as stuck.
+/// Collects the state of the control and the callers' loop; a loop that does not answer in time is
+/// reported as stuck.
 async fn dump(context: &OperatorContext) -> Value {
     let (sender, receiver) = oneshot::channel();
-    let asked = context.callers.offer(CallerInput::Dump(sender)).is_ok();
+    let requested = context.callers.offer(CallerInput::Dump(sender)).is_ok();
     let callers = async {
-        match asked {
-            true => timeout(DUTY_TIME, receiver).await.ok().and_then(Result::ok),
+        match requested {
+            true => timeout(STATE_TIMEOUT, receiver).await.ok().and_then(Result::ok),
             false => None,
         }
     };
-    let control = context.calls.call(ClientCall::Dump, DUTY_TIME);
+    let control = context.control.call(ClientCall::Dump, STATE_TIMEOUT);
     let (control, callers) = tokio::join!(control, callers);
     let control = match control {
         ClientAnswer::Dump(dump) => dump,
@@ -165,10 +169,10 @@
     json!({"control": control, "callers": callers.unwrap_or(json!({"stuck": true}))})
 }
 
-async fn text(body: Body) -> Result<String, ProblemDetails> {
+async fn read_body(body: Body) -> Result<String, ProblemDetails> {
     let limits = crate::settings::LimitSettings {
-        request_bytes: BODY_BYTES,
-        body_time: BODY_TIME,
+        request_bytes: MAX_BODY_BYTES,
+        body_time: BODY_TIMEOUT,
         ..Default::default()
     };
     let bytes = crate::callers::collect(body, &limits).await?;
@@ -182,17 +186,17 @@
     uri: &Uri,
     text: &str,
 ) -> Result<Response<Body>, ProblemDetails> {
-    let withdrawn = uri.query().and_then(|query| query.strip_prefix("withdraw="));
-    let request = match withdrawn {
+    let withdrawn_service = uri.query().and_then(|query| query.strip_prefix("withdraw="));
+    let request = match withdrawn_service {
         Some(service) => PlanRequest::Withdraw(service.into()),
         None => match parse_intent("intent", text) {
             Ok(spec) => PlanRequest::Accept(Box::new(spec)),
-            Err(findings) => return Ok(json_response(StatusCode::UNPROCESSABLE_ENTITY, &findings)),
+            Err(list) => return Ok(json_response(StatusCode::UNPROCESSABLE_ENTITY, &list)),
         },
     };
-    match context.calls.call(ClientCall::Plan(request), DUTY_TIME).await {
+    match context.control.call(ClientCall::Plan(request), STATE_TIMEOUT).await {
         ClientAnswer::Plan(plan) => Ok(json_response(StatusCode::OK, &plan)),
-        _ => Err(silent()),
+        _ => Err(no_answer()),
     }
 }
 
@@ -200,20 +204,20 @@
     let plan: PlanDocument = serde_json::from_str(text).map_err(|error| {
         ProblemDetails::new(StatusCode::BAD_REQUEST, "not a plan", error.to_string())
     })?;
-    match context.calls.call(ClientCall::Confirm(Box::new(plan)), CONFIRM_TIME).await {
+    match context.control.call(ClientCall::Confirm(Box::new(plan)), CONFIRM_TIMEOUT).await {
         ClientAnswer::Confirmed(revision) => {
             Ok(json_response(StatusCode::OK, &json!({"revision": revision})))
         }
         ClientAnswer::NotConfirmed(ConfirmRefusal::Moved(fresh)) => {
             Ok(json_response(StatusCode::CONFLICT, &fresh))
         }
-        ClientAnswer::NotConfirmed(refusal) => Err(refused(&refusal)),
-        ClientAnswer::Refused(CallRefusal::Busy) => Err(refused(&ConfirmRefusal::Busy)),
-        _ => Err(refused(&ConfirmRefusal::Unsettled)),
+        ClientAnswer::NotConfirmed(refusal) => Err(refusal_problem(&refusal)),
+        ClientAnswer::Refused(CallRefusal::Busy) => Err(refusal_problem(&ConfirmRefusal::Busy)),
+        _ => Err(refusal_problem(&ConfirmRefusal::Unsettled)),
     }
 }
 
-fn refused(refusal: &ConfirmRefusal) -> ProblemDetails {
+fn refusal_problem(refusal: &ConfirmRefusal) -> ProblemDetails {
     match refusal {
         ConfirmRefusal::NotGenuine => ProblemDetails::new(
             StatusCode::BAD_REQUEST,
@@ -245,7 +249,7 @@
     }
 }
 
-fn silent() -> ProblemDetails {
+fn no_answer() -> ProblemDetails {
     let detail = "the deciding thread did not answer in time; see /v1/dump";
     ProblemDetails::new(StatusCode::SERVICE_UNAVAILABLE, "silent", detail)
 }
--- a/src/entry/peers.rs
+++ b/src/entry/peers.rs
@@ -1,4 +1,4 @@
-//! The duty of talking to the other entries by JSON-RPC.
+//! Communication with the other entries over JSON-RPC.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -24,29 +24,29 @@
 
 type Result<T> = std::result::Result<T, ErrorObjectOwned>;
 
-/// Name of the only method.
-const DELIVER: &str = "deliver";
-/// Longest time for one call.
-const CALL_TIME: Duration = Duration::from_millis(1_000);
-/// Messages that may wait for one peer.
-const QUEUE: usize = 1_024;
-/// Messages in one call.
-const BATCH: usize = 128;
-/// Largest call, in bytes.
-const CALL_BYTES: u32 = 16 << 20;
-/// JSON-RPC code of an error that asks to slow down.
+/// Name of the only RPC method.
+const DELIVER_METHOD: &str = "deliver";
+/// Timeout for one call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Maximum number of messages queued for one peer.
+const PEER_QUEUE_CAPACITY: usize = 1_024;
+/// Maximum number of messages in one call.
+const MAX_BATCH: usize = 128;
+/// Maximum size of a call, in bytes.
+const MAX_CALL_BYTES: u32 = 16 << 20;
+/// JSON-RPC error code for a full input ring; the peer should send less.
 const BUSY_CODE: i32 = -32_000;
 
-/// What comes to this thread.
+/// Inputs of the peers' thread.
 #[derive(Debug)]
 pub(crate) enum PeerInput {
-    /// Send a message.
+    /// Sends a message to a peer.
     Send(EntryId, Box<PeerMessage>),
-    /// End the thread.
+    /// Ends the thread.
     Stop,
 }
 
-/// The thread that talks to peers.
+/// The loop that exchanges messages with peers.
 pub(crate) struct PeerLoop {
     entry: EntryId,
     peers: Vec<PeerSettings>,
@@ -64,25 +64,27 @@
         Self { entry, peers, input, control }
     }
 
-    /// Runs until told to stop.
+    /// Runs until it is stopped.
     ///
     /// # Errors
-    /// Where the listener cannot be used.
+    /// Returns an error if the listener cannot be used.
     pub(crate) async fn run(self, listener: std::net::TcpListener) -> io::Result<()> {
-        let config = ServerConfig::builder().max_request_body_size(CALL_BYTES).http_only().build();
+        let config =
+            ServerConfig::builder().max_request_body_size(MAX_CALL_BYTES).http_only().build();
         let server = ServerBuilder::new().set_config(config).build_from_tcp(listener)?;
-        let handle = server.start(self.module().map_err(io::Error::other)?);
-        let mut lines = BTreeMap::new();
+        let handle = server.start(self.rpc_module().map_err(io::Error::other)?);
+        let mut queues = BTreeMap::new();
         for peer in &self.peers {
-            let (sender, receiver) = ring("peer", QUEUE);
-            lines.insert(peer.name.clone(), sender);
-            let line = PeerLine::new(self.entry.clone(), peer, receiver, self.control.clone());
-            tokio::spawn(line.run());
+            let (sender, receiver) = ring("peer", PEER_QUEUE_CAPACITY);
+            queues.insert(peer.name.clone(), sender);
+            let peer_sender =
+                PeerSender::new(self.entry.clone(), peer, receiver, self.control.clone());
+            tokio::spawn(peer_sender.run());
         }
         while let Some(PeerInput::Send(peer, message)) = self.input.recv().await {
-            let refused = lines.get(&peer).is_none_or(|line| line.offer(*message).is_err());
-            if refused {
-                debug!("no room for a message to {peer}");
+            let dropped = queues.get(&peer).is_none_or(|queue| queue.offer(*message).is_err());
+            if dropped {
+                debug!("the queue of {peer} is full or missing: a message was dropped");
             }
         }
         let _ = handle.stop();
@@ -90,11 +92,11 @@
         Ok(())
     }
 
-    fn module(
+    fn rpc_module(
         &self,
     ) -> std::result::Result<RpcModule<RingSender<ControlInput>>, RegisterMethodError> {
         let mut module = RpcModule::new(self.control.clone());
-        module.register_async_method(DELIVER, |params, control, _| async move {
+        module.register_async_method(DELIVER_METHOD, |params, control, _| async move {
             count_payload("peers", params.len_bytes());
             let (from, messages): (EntryId, Vec<PeerMessage>) = params.parse()?;
             for message in messages {
@@ -114,7 +116,7 @@
 }
 
 /// Sends messages to one peer, in order.
-struct PeerLine {
+struct PeerSender {
     entry: EntryId,
     peer: EntryId,
     address: SocketAddr,
@@ -122,7 +124,7 @@
     control: RingSender<ControlInput>,
 }
 
-impl PeerLine {
+impl PeerSender {
     fn new(
         entry: EntryId,
         peer: &PeerSettings,
@@ -136,7 +138,7 @@
         let mut client = None;
         while let Some(first) = self.messages.recv().await {
             let mut batch = vec![first];
-            while batch.len() < BATCH {
+            while batch.len() < MAX_BATCH {
                 let Some(next) = self.messages.try_recv() else {
                     break;
                 };
@@ -155,19 +157,20 @@
 
     fn connect(&self) -> Option<HttpClient> {
         let built = HttpClientBuilder::new()
-            .request_timeout(CALL_TIME)
-            .max_request_size(CALL_BYTES)
+            .request_timeout(CALL_TIMEOUT)
+            .max_request_size(MAX_CALL_BYTES)
             .build(format!("http://{}", self.address));
         match built {
             Ok(client) => Some(client),
             Err(error) => {
-                warn!("no client for {}: {error}", self.peer);
+                warn!("cannot create a client for {}: {error}", self.peer);
                 None
             }
         }
     }
 
-    /// Sends a batch; a client that failed is not used again, its connections may be dead.
+    /// Sends a batch and returns the client if it can be used again. A client that failed is dropped,
+    /// because its connections may be dead.
     async fn send(&self, client: HttpClient, batch: &[PeerMessage]) -> Option<HttpClient> {
         let mut params = ArrayParams::new();
         params.insert(&self.entry).ok()?;
@@ -175,13 +178,14 @@
         let text = params.clone().to_rpc_params().ok().flatten();
         count_payload("peers", text.map_or(0, |text| text.get().len()));
         metrics::counter!("kelplink_peer_messages_total").increment(batch.len() as u64);
-        let result: std::result::Result<bool, RpcError> = client.request(DELIVER, params).await;
+        let result: std::result::Result<bool, RpcError> =
+            client.request(DELIVER_METHOD, params).await;
         match result {
             Ok(_) | Err(RpcError::Call(_)) => Some(client),
             Err(error) => {
-                debug!("{} was not reached: {error}", self.peer);
+                debug!("cannot reach {}: {error}", self.peer);
                 metrics::counter!("kelplink_peer_failures_total").increment(1);
-                if refused(&error) {
+                if is_refused(&error) {
                     let event = DomainEvent::PeerGone(self.peer.clone());
                     let _ = self.control.offer(event.into());
                 }
@@ -191,8 +195,9 @@
     }
 }
 
-/// Tells whether the peer's operating system refused the connection: its process does not run.
-fn refused(error: &RpcError) -> bool {
+/// Returns whether the peer's operating system refused the connection, which means that the peer's
+/// process is not running.
+fn is_refused(error: &RpcError) -> bool {
     let mut cause: Option<&dyn std::error::Error> = Some(error);
     while let Some(error) = cause {
         let kind = error.downcast_ref::<io::Error>().map(io::Error::kind);
--- a/src/entry/process.rs
+++ b/src/entry/process.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping an entry process.
+//! Start and stop of an entry process.
 
 use std::io;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,7 +16,7 @@
 use crate::client::HttpClient;
 use crate::domain::{DomainEvent, EntryIdentity};
 use crate::entry::ControlHandle;
-use crate::entry::control::{ControlGauge, ControlInput, ControlLoop, ControlOutputs};
+use crate::entry::control::{ControlInput, ControlLoop, ControlOutputs, ControlStatus};
 use crate::entry::operators::{OperatorContext, OperatorLoop};
 use crate::entry::peers::{PeerInput, PeerLoop};
 use crate::entry::store::{StoreInput, StoreLoop};
@@ -26,17 +26,17 @@
 use crate::routing::RequestRouter;
 use crate::settings::EntrySettings;
 
-/// Places in the ring of the deciding thread.
-const CONTROL_RING: usize = 8_192;
-/// Places in the other rings.
-const DUTY_RING: usize = 4_096;
-/// How long an entry that is not ready any more goes on taking connections, so that the balancer
-/// can notice.
-const NOTICE: Duration = Duration::from_millis(1_000);
-/// How long the last words to peers and the store may take.
-const LAST_WORDS: Duration = Duration::from_millis(500);
+/// Capacity of the control loop's ring.
+const CONTROL_RING_CAPACITY: usize = 8_192;
+/// Capacity of each of the other rings.
+const LOOP_RING_CAPACITY: usize = 4_096;
+/// How long a draining entry goes on accepting connections after it stops reporting itself ready, so
+/// that the load balancer notices.
+const NOT_READY_TIME: Duration = Duration::from_millis(1_000);
+/// Time for the last messages to peers and the store to be sent before the threads end.
+const FLUSH_TIME: Duration = Duration::from_millis(500);
 
-/// A running entry process: its threads and the rings to them.
+/// A running entry process: its threads and the senders to their rings.
 pub struct EntryProcess {
     name: String,
     control: RingSender<ControlInput>,
@@ -44,7 +44,7 @@
     store: RingSender<StoreInput>,
     workers: RingSender<WorkerInput>,
     peers: RingSender<PeerInput>,
-    operators: watch::Sender<bool>,
+    operators_stop: watch::Sender<bool>,
     caller_thread: Option<JoinHandle<io::Result<bool>>>,
     other_threads: Vec<JoinHandle<io::Result<bool>>>,
 }
@@ -53,19 +53,19 @@
     /// Binds all addresses and starts all threads.
     ///
     /// # Errors
-    /// Where an address cannot be bound or a thread not started.
+    /// Returns an error if an address cannot be bound or a thread cannot be started.
     pub fn start(settings: &EntrySettings, metrics: PrometheusHandle) -> Result<Self> {
         let callers_listener = bind(settings.callers).context("callers")?;
         let operators_listener = bind(settings.operators).context("operators")?;
         let peers_listener = bind(settings.peers).context("peers")?;
-        let boot = unix_millis();
-        let (control, control_input) = ring("control", CONTROL_RING);
-        let (callers, callers_input) = ring("callers", DUTY_RING);
-        let (store, store_input) = ring("store", DUTY_RING);
-        let (workers, workers_input) = ring("workers", DUTY_RING);
-        let (peers, peers_input) = ring("peers", DUTY_RING);
-        let (operators, operators_stopped) = watch::channel(false);
-        let gauge = Arc::new(ControlGauge::default());
+        let boot = current_unix_millis();
+        let (control, control_input) = ring("control", CONTROL_RING_CAPACITY);
+        let (callers, callers_input) = ring("callers", LOOP_RING_CAPACITY);
+        let (store, store_input) = ring("store", LOOP_RING_CAPACITY);
+        let (workers, workers_input) = ring("workers", LOOP_RING_CAPACITY);
+        let (peers, peers_input) = ring("peers", LOOP_RING_CAPACITY);
+        let (operators_stop, operators_stopped) = watch::channel(false);
+        let control_status = Arc::new(ControlStatus::default());
         let identity = identity(settings, boot);
         let domains = identity.domains();
         let outputs = ControlOutputs {
@@ -74,47 +74,47 @@
             peers: peers.clone(),
             callers: callers.clone(),
         };
-        let duty_gauge = gauge.clone();
-        let control_thread = duty(&settings.name, "control", async move {
-            ControlLoop::new(identity, unix_millis(), control_input, outputs, duty_gauge)
+        let loop_status = control_status.clone();
+        let control_thread = spawn_loop(&settings.name, "control", async move {
+            ControlLoop::new(identity, current_unix_millis(), control_input, outputs, loop_status)
                 .run()
                 .await;
             Ok(true)
         })?;
-        let duty_control = control.clone();
+        let loop_control = control.clone();
         let (store_address, vms) = (settings.store, settings.vms);
-        let store_thread = duty(&settings.name, "store", async move {
-            StoreLoop::new(store_address, vms, store_input, duty_control).run().await;
+        let store_thread = spawn_loop(&settings.name, "store", async move {
+            StoreLoop::new(store_address, vms, store_input, loop_control).run().await;
             Ok(true)
         })?;
-        let duty_control = control.clone();
-        let worker_thread = duty(&settings.name, "workers", async move {
-            WorkerLoop::new(workers_input, duty_control).run().await;
+        let loop_control = control.clone();
+        let worker_thread = spawn_loop(&settings.name, "workers", async move {
+            WorkerLoop::new(workers_input, loop_control).run().await;
             Ok(true)
         })?;
-        let peer_duty = PeerLoop::new(
+        let peer_loop = PeerLoop::new(
             settings.name.clone(),
             settings.others.clone(),
             peers_input,
             control.clone(),
         );
-        let peer_thread = duty(&settings.name, "peers", async move {
-            peer_duty.run(peers_listener).await.map(|()| true)
+        let peer_thread = spawn_loop(&settings.name, "peers", async move {
+            peer_loop.run(peers_listener).await.map(|()| true)
         })?;
         let context = OperatorContext {
-            calls: ControlHandle::new(control.clone()),
+            control: ControlHandle::new(control.clone()),
             callers: callers.clone(),
-            gauge,
+            control_status,
             metrics,
         };
-        let operator_thread = duty(&settings.name, "operators", async move {
+        let operator_thread = spawn_loop(&settings.name, "operators", async move {
             OperatorLoop::new(context)
                 .run(operators_listener, operators_stopped)
                 .await
                 .map(|()| true)
         })?;
         let context = caller_context(settings, boot, control.clone(), domains.into());
-        let caller_thread = duty(&settings.name, "callers", async move {
+        let caller_thread = spawn_loop(&settings.name, "callers", async move {
             CallerLoop::new(context, callers_input).run(callers_listener).await
         })?;
         info!("{} started in {}", settings.name, settings.domain);
@@ -125,7 +125,7 @@
             store,
             workers,
             peers,
-            operators,
+            operators_stop,
             caller_thread: Some(caller_thread),
             other_threads: vec![
                 control_thread,
@@ -137,30 +137,31 @@
         })
     }
 
-    /// Tells whether a thread has ended that should not have.
-    pub fn broken(&self) -> bool {
+    /// Returns whether a thread has ended unexpectedly.
+    pub fn has_ended_thread(&self) -> bool {
         let caller = self.caller_thread.as_ref().is_none_or(JoinHandle::is_finished);
         caller || self.other_threads.iter().any(JoinHandle::is_finished)
     }
 
-    /// A planned stop: stops to be ready, hands over what it leads, finishes what is in flight, and
-    /// ends. Tells whether no request was cut.
+    /// Performs a planned stop: reports itself not ready, hands over leadership, finishes the requests
+    /// in flight, and ends all threads. Returns false if requests were cut.
     pub fn drain(mut self) -> bool {
         info!("{}: planned stop", self.name);
         let _ = self.control.offer(DomainEvent::Leave.into());
-        std::thread::sleep(NOTICE);
+        std::thread::sleep(NOT_READY_TIME);
         let _ = self.callers.offer(CallerInput::Stop);
-        let whole = match self.caller_thread.take().map(JoinHandle::join) {
-            Some(Ok(Ok(whole))) => whole,
+        let drained = match self.caller_thread.take().map(JoinHandle::join) {
+            Some(Ok(Ok(drained))) => drained,
             _ => false,
         };
-        std::thread::sleep(LAST_WORDS);
+        std::thread::sleep(FLUSH_TIME);
         self.end();
         info!("{}: ended", self.name);
-        whole
+        drained
     }
 
-    /// Ends all threads at once, as a crash would, but for what the operating system does.
+    /// Ends all threads at once, like a crash, except that the operating system does not clean up after
+    /// the process.
     pub fn kill(mut self) {
         let _ = self.control.offer(ControlInput::Stop);
         let _ = self.callers.offer(CallerInput::Kill);
@@ -169,7 +170,7 @@
     }
 
     fn end(&mut self) {
-        let _ = self.operators.send(true);
+        let _ = self.operators_stop.send(true);
         let _ = self.control.offer(ControlInput::Stop);
         let _ = self.store.offer(StoreInput::Stop);
         let _ = self.workers.offer(WorkerInput::Stop);
@@ -206,7 +207,7 @@
         entry: settings.name.clone(),
         boot,
         router_state: Arc::new(Mutex::new(RouterState::new(router))),
-        calls: ControlHandle::new(control),
+        control: ControlHandle::new(control),
         limits,
         next_request: Arc::new(AtomicU64::new(1)),
         peers: Arc::new(peers.collect()),
@@ -215,8 +216,8 @@
     }
 }
 
-/// Starts a thread with a runtime of its own.
-fn duty(
+/// Starts a thread with its own runtime that runs one loop.
+fn spawn_loop(
     entry: &str,
     name: &str,
     work: impl Future<Output = io::Result<bool>> + Send + 'static,
@@ -229,8 +230,8 @@
     })
 }
 
-/// Milliseconds since the Unix epoch; later starts in one process get higher numbers.
-fn unix_millis() -> u64 {
+/// Returns the milliseconds since the Unix epoch; the values never decrease within one process.
+fn current_unix_millis() -> u64 {
     static LAST: AtomicU64 = AtomicU64::new(0);
     let passed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let now = u64::try_from(passed.as_millis()).unwrap_or(0);
--- a/src/entry/store.rs
+++ b/src/entry/store.rs
@@ -1,4 +1,4 @@
-//! The duty of talking to the platform's store and its list of VMs.
+//! Access to the platform's store and its list of VMs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,27 +18,27 @@
 use crate::ring::{RingReceiver, RingSender};
 use crate::store::{StoreOutcome, StoreRequest, StoredValue};
 
-/// Longest time for one call.
-const CALL_TIME: Duration = Duration::from_millis(1_000);
-/// How long a watch waits at the store.
-const WATCH_TIME: Duration = Duration::from_secs(30);
-/// Pause before a watch that failed is set again.
-const WATCH_PAUSE: Duration = Duration::from_millis(1_000);
+/// Timeout for one call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long the store holds a watch call open.
+const WATCH_WAIT: Duration = Duration::from_secs(30);
+/// Pause before a failed watch is repeated.
+const WATCH_RETRY_PAUSE: Duration = Duration::from_millis(1_000);
 /// Interval between reads of the list of VMs.
-const VM_INTERVAL: Duration = Duration::from_millis(500);
-/// Largest value, in bytes.
-const VALUE_BYTES: usize = 2 << 20;
+const VM_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Maximum size of a value, in bytes.
+const MAX_VALUE_BYTES: usize = 2 << 20;
 
-/// What comes to this thread.
+/// Inputs of the store's thread.
 #[derive(Debug)]
 pub(crate) enum StoreInput {
-    /// Make a call.
+    /// Makes a call to the store.
     Call(StoreOwner, CallId, StoreRequest),
-    /// End the thread.
+    /// Ends the thread.
     Stop,
 }
 
-/// The store over HTTP.
+/// Client of the store's HTTP interface.
 #[derive(Clone, Debug)]
 pub(crate) struct StoreClient {
     address: SocketAddr,
@@ -50,9 +50,10 @@
         Self { address, http: HttpClient::new() }
     }
 
-    /// Makes a call.
+    /// Makes a call and returns its outcome.
     pub(crate) async fn call(&self, request: &StoreRequest) -> StoreOutcome {
-        metrics::counter!("kelplink_store_calls_total", "kind" => kind(request)).increment(1);
+        metrics::counter!("kelplink_store_calls_total", "kind" => request_kind(request))
+            .increment(1);
         let (method, path, body) = match request {
             StoreRequest::Read { key } => (Method::GET, format!("/kv/{key}"), String::new()),
             StoreRequest::Swap { key, expected, value } => {
@@ -61,44 +62,45 @@
             }
         };
         let result =
-            self.http.call(method, self.address, &path, body, CALL_TIME, VALUE_BYTES).await;
+            self.http.call(method, self.address, &path, body, CALL_TIMEOUT, MAX_VALUE_BYTES).await;
         match (result, request) {
             (Err(ClientError::NotSent(_) | ClientError::Refused(_)), _) => {
                 StoreOutcome::Unavailable
             }
             (Err(ClientError::NoAnswer(_)), StoreRequest::Read { .. }) => StoreOutcome::Unavailable,
             (Err(ClientError::NoAnswer(_)), StoreRequest::Swap { .. }) => StoreOutcome::Unknown,
-            (Ok(response), _) => outcome(request, response.status(), response.body()),
+            (Ok(response), _) => decode_outcome(request, response.status(), response.body()),
         }
     }
 
-    /// Waits until a key has another version than `after`; `None` where the store did not answer.
+    /// Waits until the version of a key differs from `after`. Returns `None` if the store did not answer.
     async fn watch(&self, key: &str, after: Option<KeyVersion>) -> Option<StoreOutcome> {
         metrics::counter!("kelplink_store_calls_total", "kind" => "watch").increment(1);
-        let wait = WATCH_TIME.as_millis();
+        let wait = WATCH_WAIT.as_millis();
         let path = match after {
             Some(after) => format!("/watch/{key}?after={after}&wait_ms={wait}"),
             None => format!("/kv/{key}"),
         };
-        let time = WATCH_TIME + CALL_TIME;
-        let result = self.http.call(Method::GET, self.address, &path, "", time, VALUE_BYTES).await;
+        let time = WATCH_WAIT + CALL_TIMEOUT;
+        let result =
+            self.http.call(Method::GET, self.address, &path, "", time, MAX_VALUE_BYTES).await;
         let response = result.ok()?;
         let request = StoreRequest::Read { key: key.to_owned() };
-        match outcome(&request, response.status(), response.body()) {
+        match decode_outcome(&request, response.status(), response.body()) {
             StoreOutcome::Unavailable => None,
             outcome => Some(outcome),
         }
     }
 }
 
-fn kind(request: &StoreRequest) -> &'static str {
+fn request_kind(request: &StoreRequest) -> &'static str {
     match request {
         StoreRequest::Read { .. } => "read",
         StoreRequest::Swap { .. } => "swap",
     }
 }
 
-fn outcome(request: &StoreRequest, status: StatusCode, body: &[u8]) -> StoreOutcome {
+fn decode_outcome(request: &StoreRequest, status: StatusCode, body: &[u8]) -> StoreOutcome {
     match (request, status) {
         (_, StatusCode::NOT_FOUND | StatusCode::NO_CONTENT) => StoreOutcome::Missing,
         (_, StatusCode::CONFLICT) => StoreOutcome::Conflict,
@@ -117,7 +119,7 @@
     }
 }
 
-/// The thread that talks to the platform.
+/// The loop that calls the platform's store and reads the list of VMs.
 pub(crate) struct StoreLoop {
     store: StoreClient,
     vms: SocketAddr,
@@ -135,10 +137,10 @@
         Self { store: StoreClient::new(store), vms, input, control }
     }
 
-    /// Runs until told to stop.
+    /// Runs until it is stopped.
     pub(crate) async fn run(self) {
         tokio::spawn(watch_head(self.store.clone(), self.control.clone()));
-        tokio::spawn(read_vms(self.vms, self.control.clone()));
+        tokio::spawn(poll_vms(self.vms, self.control.clone()));
         while let Some(StoreInput::Call(owner, id, request)) = self.input.recv().await {
             let (store, control) = (self.store.clone(), self.control.clone());
             tokio::spawn(async move {
@@ -149,45 +151,47 @@
     }
 }
 
-/// Tells the head of the configuration whenever it changes.
+/// Watches the head of the configuration and sends an event to the control loop when it changes.
 async fn watch_head(store: StoreClient, control: RingSender<ControlInput>) {
-    let mut seen: Option<KeyVersion> = None;
+    let mut seen_version: Option<KeyVersion> = None;
     loop {
-        let Some(outcome) = store.watch(CONFIG_KEY, seen).await else {
-            sleep(WATCH_PAUSE).await;
+        let Some(outcome) = store.watch(CONFIG_KEY, seen_version).await else {
+            sleep(WATCH_RETRY_PAUSE).await;
             continue;
         };
         let stored: Option<StoredValue> = match outcome {
             StoreOutcome::Found(stored) => Some(stored),
             _ => None,
         };
-        let unchanged = seen.is_some() && stored.as_ref().is_none_or(|s| Some(s.version) == seen);
-        seen = Some(stored.as_ref().map_or(seen.unwrap_or(0), |stored| stored.version));
+        let unchanged = seen_version.is_some()
+            && stored.as_ref().is_none_or(|s| Some(s.version) == seen_version);
+        seen_version =
+            Some(stored.as_ref().map_or(seen_version.unwrap_or(0), |stored| stored.version));
         if !unchanged && !control.send(DomainEvent::Head(stored).into()).await {
             return;
         }
     }
 }
 
-/// Tells the platform's list of VMs whenever it changes.
-async fn read_vms(address: SocketAddr, control: RingSender<ControlInput>) {
+/// Polls the platform's list of VMs and sends an event to the control loop when it changes.
+async fn poll_vms(address: SocketAddr, control: RingSender<ControlInput>) {
     let http = HttpClient::new();
-    let mut ticks = interval(VM_INTERVAL);
+    let mut ticks = interval(VM_POLL_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut last = Bytes::new();
-    let mut tag: Option<HeaderValue> = None;
+    let mut last_body = Bytes::new();
+    let mut etag: Option<HeaderValue> = None;
     loop {
         ticks.tick().await;
-        let Some(response) = ask_vms(&http, address, tag.as_ref()).await else {
+        let Some(response) = fetch_vms(&http, address, etag.as_ref()).await else {
             continue;
         };
-        tag = response.headers().get(ETAG).cloned();
-        if *response.body() == last {
+        etag = response.headers().get(ETAG).cloned();
+        if *response.body() == last_body {
             continue;
         }
         match serde_json::from_slice(response.body()) {
             Ok(vms) => {
-                last = response.into_body();
+                last_body = response.into_body();
                 if !control.send(DomainEvent::Vms(vms).into()).await {
                     return;
                 }
@@ -197,18 +201,19 @@
     }
 }
 
-/// Asks for the list; `None` where none came or it is still the one of the tag.
-async fn ask_vms(
+/// Requests the list of VMs. Returns `None` if the request failed or the list still has the given
+/// entity tag.
+async fn fetch_vms(
     http: &HttpClient,
     address: SocketAddr,
-    tag: Option<&HeaderValue>,
+    etag: Option<&HeaderValue>,
 ) -> Option<Response<Bytes>> {
     let mut request = Request::builder().uri(format!("http://{address}/vms"));
-    if let Some(tag) = tag {
-        request = request.header(IF_NONE_MATCH, tag);
+    if let Some(etag) = etag {
+        request = request.header(IF_NONE_MATCH, etag);
     }
     let request = request.body(Full::default()).ok()?;
-    let response = http.send(request, CALL_TIME, VALUE_BYTES).await.ok()?;
+    let response = http.send(request, CALL_TIMEOUT, MAX_VALUE_BYTES).await.ok()?;
     count_payload("vms", response.body().len());
     (response.status() == StatusCode::OK).then_some(response)
 }
--- a/src/entry/workers.rs
+++ b/src/entry/workers.rs
@@ -1,4 +1,4 @@
-//! The duty of talking to workers.
+//! Communication with workers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,21 +13,21 @@
 use crate::ring::{RingReceiver, RingSender};
 use crate::worker::{WorkerReply, WorkerRequest};
 
-/// Longest time for one exchange.
-const EXCHANGE_TIME: Duration = Duration::from_millis(1_500);
-/// Largest reply, in bytes.
-const REPLY_BYTES: usize = 4 << 20;
+/// Timeout for one exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Maximum size of a reply, in bytes.
+const MAX_REPLY_BYTES: usize = 4 << 20;
 
-/// What comes to this thread.
+/// Inputs of the workers' thread.
 #[derive(Debug)]
 pub(crate) enum WorkerInput {
-    /// Make an exchange.
+    /// Sends a request to a worker and waits for its reply.
     Exchange { worker: WorkerId, address: SocketAddr, id: ExchangeId, request: WorkerRequest },
-    /// End the thread.
+    /// Ends the thread.
     Stop,
 }
 
-/// The thread that talks to workers.
+/// The loop that exchanges requests and replies with workers.
 pub(crate) struct WorkerLoop {
     input: RingReceiver<WorkerInput>,
     control: RingSender<ControlInput>,
@@ -38,7 +38,7 @@
         Self { input, control }
     }
 
-    /// Runs until told to stop.
+    /// Runs until it is stopped.
     pub(crate) async fn run(self) {
         let http = HttpClient::new();
         while let Some(WorkerInput::Exchange { worker, address, id, request }) =
@@ -62,7 +62,8 @@
     metrics::counter!("kelplink_worker_exchanges_total").increment(1);
     count_payload("workers", body.len());
     let path = "/exchange";
-    let result = http.call(Method::POST, address, path, body, EXCHANGE_TIME, REPLY_BYTES).await;
+    let result =
+        http.call(Method::POST, address, path, body, EXCHANGE_TIMEOUT, MAX_REPLY_BYTES).await;
     let response = result.ok().filter(|response| response.status() == StatusCode::OK)?;
     count_payload("workers", response.body().len());
     serde_json::from_slice(response.body()).ok()
--- a/src/problem.rs
+++ b/src/problem.rs
@@ -10,22 +10,22 @@
 use hyper::{Response, StatusCode};
 use serde::Serialize;
 
-/// Header that tells what became of a request.
+/// Header that states whether the request was run.
 pub(crate) const RAN_HEADER: &str = "kelplink-ran";
 
-/// What became of a request.
+/// Whether a request was run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum RunState {
-    /// It ran.
+    /// The request ran.
     Yes,
-    /// It never reached an upstream; it is safe to send it again.
+    /// The request never reached an upstream; it is safe to send it again.
     No,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
 impl RunState {
-    /// Value of the header.
+    /// Returns the value of [`RAN_HEADER`].
     pub(crate) fn label(self) -> &'static str {
         match self {
             Self::Yes => "yes",
@@ -35,7 +35,7 @@
     }
 }
 
-/// An error as its client gets it.
+/// An error response to a client.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ProblemDetails {
     status: StatusCode,
@@ -43,7 +43,7 @@
     detail: String,
     retry_after: Option<Duration>,
     ran: Option<RunState>,
-    closes: bool,
+    close_connection: bool,
 }
 
 #[derive(Serialize)]
@@ -57,34 +57,41 @@
 
 impl ProblemDetails {
     pub(crate) fn new(status: StatusCode, title: &'static str, detail: impl Into<String>) -> Self {
-        Self { status, title, detail: detail.into(), retry_after: None, ran: None, closes: false }
+        Self {
+            status,
+            title,
+            detail: detail.into(),
+            retry_after: None,
+            ran: None,
+            close_connection: false,
+        }
     }
 
-    /// Tells what became of the request.
+    /// Sets whether the request was run.
     pub(crate) fn ran(mut self, ran: RunState) -> Self {
         self.ran = Some(ran);
         self
     }
 
-    /// Tells when to come back.
+    /// Sets the `Retry-After` header.
     pub(crate) fn retry_after(mut self, time: Duration) -> Self {
         self.retry_after = Some(time);
         self
     }
 
-    /// Ends the connection: what follows on it may not be a request.
+    /// Closes the connection after the response, because the bytes that follow may not be a request.
     pub(crate) fn closing(mut self) -> Self {
-        self.closes = true;
+        self.close_connection = true;
         self
     }
 
-    /// The response.
+    /// Builds the response.
     pub(crate) fn response(&self) -> Response<Body> {
         let (parts, bytes) = self.bytes_response().into_parts();
         Response::from_parts(parts, full(bytes))
     }
 
-    /// The response with its body as bytes.
+    /// Builds the response with its body as bytes.
     pub(crate) fn bytes_response(&self) -> Response<Bytes> {
         let body = ProblemBody {
             kind: "about:blank",
@@ -104,19 +111,19 @@
         if let Some(ran) = self.ran {
             headers.insert(RAN_HEADER, HeaderValue::from_static(ran.label()));
         }
-        if self.closes {
+        if self.close_connection {
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 }
 
-/// A body out of bytes.
+/// Makes a body from bytes.
 pub(crate) fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| -> io::Error { match never {} }).boxed_unsync()
 }
 
-/// A JSON response.
+/// Makes a JSON response.
 pub(crate) fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let mut response = Response::new(full(serde_json::to_vec(value).unwrap_or_default()));
     *response.status_mut() = status;
