--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,4 +1,4 @@
-//! Everything in one process for a while, checked.
+//! The demo: runs a whole deployment in one process under load and checks its guarantees.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,37 +20,37 @@
 
 use load::{CallerLoad, JobLoad, LoadReport};
 
-/// Failure domains of one tenant with their number of entries.
+/// Failure domains, each with its number of entries.
 const DOMAINS: [(&str, usize); 3] = [("peiraias", 3), ("marousi", 2), ("elefsina", 2)];
-/// Workers in all failure domains.
-const WORKERS: usize = 50;
-/// Workers in a rack.
-const RACK: usize = 8;
-/// Serving processes in all failure domains.
-const UPSTREAMS: usize = 50;
-/// Slots of each.
-const SLOTS: u32 = 8;
-/// One worker: 32 cores, 64 GB.
-const WORKER: ResourceVector = ResourceVector::new(32_000, 64_000, 0);
-/// Longest wait for the start.
-const START_TIME: Duration = Duration::from_secs(10);
+/// Number of workers over all failure domains.
+const WORKER_COUNT: usize = 50;
+/// Number of workers, or of upstreams, in a rack.
+const RACK_SIZE: usize = 8;
+/// Number of upstreams over all failure domains.
+const UPSTREAM_COUNT: usize = 50;
+/// Slots of each upstream.
+const SLOT_COUNT: u32 = 8;
+/// Capacity of a worker: 32 cores and 64 GB of memory.
+const WORKER_CAPACITY: ResourceVector = ResourceVector::new(32_000, 64_000, 0);
+/// Longest wait until all entries are ready.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// How long callers send requests.
-const LOAD_TIME: Duration = Duration::from_secs(8);
-/// When the planned stop begins.
-const STOP_AFTER: Duration = Duration::from_secs(3);
-/// Interval between looks at the workers.
+const LOAD_DURATION: Duration = Duration::from_secs(8);
+/// Time between the start of the load and the planned stop.
+const STOP_DELAY: Duration = Duration::from_secs(3);
+/// Interval between two samples of the resources in use.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
-/// Longest wait for jobs to end.
-const JOB_TIME: Duration = Duration::from_secs(10);
+/// Longest wait for the jobs to end.
+const JOB_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Size and seed of the workload.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DemoSettings {
     /// Seed of the workload.
     pub seed: u64,
-    /// Callers that send requests at a time.
+    /// Number of callers that send requests concurrently.
     pub callers: u32,
-    /// Batch jobs that are submitted.
+    /// Number of jobs that are submitted.
     pub jobs: u32,
 }
 
@@ -60,43 +60,43 @@
     }
 }
 
-fn machines(addresses: &mut impl Iterator<Item = SocketAddr>) -> Result<Vec<VmRecord>> {
-    let mut machines = Vec::new();
-    for number in 0..WORKERS {
+fn vm_records(addresses: &mut impl Iterator<Item = SocketAddr>) -> Result<Vec<VmRecord>> {
+    let mut records = Vec::new();
+    for number in 0..WORKER_COUNT {
         let (domain, _) = DOMAINS[number % DOMAINS.len()];
-        machines.push(VmRecord {
+        records.push(VmRecord {
             id: format!("worker-{number:02}"),
             domain: domain.into(),
-            rack: format!("rack-{domain}-{}", number / DOMAINS.len() / RACK).into(),
+            rack: format!("rack-{domain}-{}", number / DOMAINS.len() / RACK_SIZE).into(),
             address: addresses.next().context("no address left")?,
             leaving: false,
-            role: VmRole::Worker { capacity: WORKER },
+            role: VmRole::Worker { capacity: WORKER_CAPACITY },
         });
     }
-    for number in 0..UPSTREAMS {
+    for number in 0..UPSTREAM_COUNT {
         let (domain, _) = DOMAINS[number % DOMAINS.len()];
-        machines.push(VmRecord {
+        records.push(VmRecord {
             id: format!("upstream-{number:02}"),
             domain: domain.into(),
-            rack: format!("rack-{domain}-{}", number / DOMAINS.len() / RACK).into(),
+            rack: format!("rack-{domain}-{}", number / DOMAINS.len() / RACK_SIZE).into(),
             address: addresses.next().context("no address left")?,
             leaving: false,
-            role: VmRole::Upstream { service: "attikis/checks".into(), slots: SLOTS },
+            role: VmRole::Upstream { service: "attikis/checks".into(), slots: SLOT_COUNT },
         });
     }
-    Ok(machines)
+    Ok(records)
 }
 
-fn entries(
+fn entry_settings(
     addresses: &mut impl Iterator<Item = SocketAddr>,
     store: SocketAddr,
     vms: SocketAddr,
 ) -> Result<Vec<EntrySettings>> {
-    let mut all = Vec::new();
+    let mut entries = Vec::new();
     for (domain, count) in DOMAINS {
         for number in 0..count {
             let mut next = || addresses.next().context("no address left");
-            all.push(EntrySettings {
+            entries.push(EntrySettings {
                 name: format!("{domain}-{number}").into(),
                 domain: domain.into(),
                 callers: next()?,
@@ -110,7 +110,7 @@
             });
         }
     }
-    let peers: Vec<PeerSettings> = all
+    let peers: Vec<PeerSettings> = entries
         .iter()
         .map(|entry| PeerSettings {
             name: entry.name.clone(),
@@ -119,131 +119,139 @@
             callers: entry.callers,
         })
         .collect();
-    for entry in &mut all {
+    for entry in &mut entries {
         entry.others = peers.iter().filter(|peer| peer.name != entry.name).cloned().collect();
     }
-    Ok(all)
+    Ok(entries)
 }
 
-/// Runs the demo and tells whether all its checks held.
+/// Runs the demo and returns whether all its checks passed.
 ///
 /// # Errors
-/// Where it cannot be started.
+/// If the demo cannot be started or a request of the demo itself fails.
 pub(crate) fn run_demo(settings: &DemoSettings, metrics: PrometheusHandle) -> Result<bool> {
     let started = Instant::now();
-    let count = 2 + WORKERS + UPSTREAMS + 3 * 7;
-    let mut addresses = free_addresses(count)?.into_iter();
+    let address_count = 2 + WORKER_COUNT + UPSTREAM_COUNT + 3 * 7;
+    let mut addresses = free_addresses(address_count)?.into_iter();
     let store = addresses.next().context("no address left")?;
     let vms = addresses.next().context("no address left")?;
-    let machines = machines(&mut addresses)?;
-    let entries = entries(&mut addresses, store, vms)?;
+    let machines = vm_records(&mut addresses)?;
+    let entries = entry_settings(&mut addresses, store, vms)?;
     let stand_in = StandInServer::start(&StandInSettings { store, vms, machines })?;
-    println!("starting {} entries, {WORKERS} workers, {UPSTREAMS} upstreams", entries.len());
+    println!(
+        "starting {} entries, {WORKER_COUNT} workers, {UPSTREAM_COUNT} upstreams",
+        entries.len()
+    );
     let mut processes = BTreeMap::new();
     for entry in &entries {
         let process = EntryProcess::start(entry, metrics.clone())?;
         processes.insert(entry.name.clone(), process);
     }
-    let ready = load::wait_ready(&entries, START_TIME)?;
+    let ready = load::wait_ready(&entries, START_TIMEOUT)?;
     println!("ready after {:.1} s", started.elapsed().as_secs_f64());
     let confirmed = load::confirm_intents(&entries)?;
     let jobs = JobLoad::start(&entries, settings)?;
-    let callers = CallerLoad::start(&entries, settings, LOAD_TIME)?;
+    let callers = CallerLoad::start(&entries, settings, LOAD_DURATION)?;
     let mut packing = PackingSample::default();
-    packing.watch(&stand_in, STOP_AFTER);
-    let stopped = entries.first().and_then(|entry| processes.remove(&entry.name));
-    let stop_whole = stopped.is_none_or(EntryProcess::drain);
+    packing.sample(&stand_in, STOP_DELAY);
+    let stopped_process = entries.first().and_then(|entry| processes.remove(&entry.name));
+    let drained = stopped_process.is_none_or(EntryProcess::drain);
     println!(
         "planned stop of {}: requests cut: {}",
         entries[0].name,
-        if stop_whole { "none" } else { "some" }
+        if drained { "none" } else { "some" }
     );
     let calls = callers.finish()?;
-    packing.watch(&stand_in, SAMPLE_INTERVAL);
-    let jobs = jobs.finish(&entries, JOB_TIME)?;
+    packing.sample(&stand_in, SAMPLE_INTERVAL);
+    let jobs = jobs.finish(&entries, JOB_TIMEOUT)?;
     let elapsed = started.elapsed();
     for process in processes.into_values() {
         process.kill();
     }
     let report = LoadReport { calls, jobs };
-    let checks = Checks::new(&stand_in, &report, ready, confirmed, stop_whole);
+    let checks = CheckList::new(&stand_in, &report, ready, confirmed, drained);
     packing.print();
     print_report(&stand_in, &report, &metrics, elapsed);
-    let good = checks.print();
+    let passed = checks.print();
     stand_in.stop();
-    Ok(good)
+    Ok(passed)
 }
 
-/// Cores in use at the fullest moment seen.
+/// The sample with the most processor time in use, in thousandths of a core.
 #[derive(Debug, Default)]
 struct PackingSample {
+    /// Used by tasks.
     used: u64,
-    opened: u64,
+    /// Capacity of the workers that run at least one task.
+    occupied: u64,
 }
 
 impl PackingSample {
-    /// Looks at the workers for a while.
-    fn watch(&mut self, stand_in: &StandInServer, time: Duration) {
+    /// Samples the workers for `time` and keeps the sample with the highest use.
+    fn sample(&mut self, stand_in: &StandInServer, time: Duration) {
         let until = Instant::now() + time;
         while Instant::now() < until {
-            let (used, opened) = stand_in.with(|state| {
-                let busy = state.workers.values().map(|worker| worker.used().millicores);
-                let busy: Vec<u64> = busy.filter(|used| *used > 0).map(u64::from).collect();
-                (busy.iter().sum(), busy.len() as u64 * u64::from(WORKER.millicores))
+            let (used, occupied) = stand_in.with(|state| {
+                let used = state.workers.values().map(|worker| worker.used().millicores);
+                let used: Vec<u64> = used.filter(|used| *used > 0).map(u64::from).collect();
+                (used.iter().sum(), used.len() as u64 * u64::from(WORKER_CAPACITY.millicores))
             });
             if used > self.used {
-                (self.used, self.opened) = (used, opened);
+                (self.used, self.occupied) = (used, occupied);
             }
             sleep(SAMPLE_INTERVAL);
         }
     }
 
     fn print(&self) {
-        let all = (WORKERS as u64 * u64::from(WORKER.millicores)) as f64;
-        let (used, opened) = (self.used as f64, self.opened.max(1) as f64);
+        let total = (WORKER_COUNT as u64 * u64::from(WORKER_CAPACITY.millicores)) as f64;
+        let (used, occupied) = (self.used as f64, self.occupied.max(1) as f64);
         println!(
-            "packing at the fullest moment: {:.1}% of all cores, {:.1}% of the workers in use",
-            100.0 * used / all,
-            100.0 * used / opened
+            "packing at the highest use: {:.1}% of all cores, {:.1}% of the cores of occupied workers",
+            100.0 * used / total,
+            100.0 * used / occupied
         );
     }
 }
 
-struct Checks(Vec<(&'static str, bool)>);
+/// The checks with their results.
+struct CheckList(Vec<(&'static str, bool)>);
 
-impl Checks {
+impl CheckList {
     fn new(
         stand_in: &StandInServer,
         report: &LoadReport,
         ready: bool,
         confirmed: bool,
-        stop_whole: bool,
+        drained: bool,
     ) -> Self {
-        let (over_slots, twice) = stand_in.with(|state| {
-            let over: u64 = state.upstreams.values().map(|u| u.count().over_slots).sum();
+        let (over_slots, violations) = stand_in.with(|state| {
+            let over_slots: u64 = state.upstreams.values().map(|u| u.count().over_slots).sum();
             let mut marks: BTreeMap<&str, u32> = BTreeMap::new();
             for (mark, count) in state.upstreams.values().flat_map(|u| u.marks()) {
                 *marks.entry(mark).or_default() += count;
             }
             let calls = &report.calls;
-            let once =
-                calls.once.iter().filter(|m| marks.get(m.as_str()).copied().unwrap_or(0) > 1);
-            let no = calls.not_run.iter().filter(|m| marks.contains_key(m.as_str()));
-            (over, (once.count(), no.count()))
+            let repeated = calls
+                .at_most_once
+                .iter()
+                .filter(|mark| marks.get(mark.as_str()).copied().unwrap_or(0) > 1);
+            let ran = calls.not_run.iter().filter(|mark| marks.contains_key(mark.as_str()));
+            (over_slots, (repeated.count(), ran.count()))
         });
         let overlaps = stand_in.with(|state| load::overlapping_runs(state));
         Self(vec![
             ("all entries were ready", ready),
             ("all plans were confirmed", confirmed),
-            ("the planned stop cut no request", stop_whole),
+            ("the planned stop cut no request", drained),
             ("every request had an answer", report.calls.unanswered == 0),
-            ("every answer was whole and its caller's own", report.calls.foreign == 0),
-            ("no request was left unknown", report.calls.unknown == 0),
+            ("every answer was complete and belonged to its request", report.calls.mismatched == 0),
+            ("no request had an unknown outcome", report.calls.unknown == 0),
             ("no upstream had more requests than slots", over_slots == 0),
-            ("not-idempotent requests ran at most once", twice.0 == 0),
-            ("what was answered as not run never ran", twice.1 == 0),
-            ("no task ran in two places", overlaps == 0),
-            ("all jobs ended well", report.jobs.succeeded == report.jobs.submitted),
+            ("requests that are not idempotent ran at most once", violations.0 == 0),
+            ("no request that was answered as not run had run", violations.1 == 0),
+            ("no two runs of a task overlapped", overlaps == 0),
+            ("all jobs succeeded", report.jobs.succeeded == report.jobs.submitted),
             ("no invariant was broken", broken_invariants() == 0),
         ])
     }
@@ -257,8 +265,13 @@
 }
 
 fn quantiles(histogram: &Histogram<u64>) -> String {
-    let at = |q| histogram.value_at_quantile(q) as f64 / 1e3;
-    format!("p50 {:.1} ms, p99 {:.1} ms ({} samples)", at(0.5), at(0.99), histogram.len())
+    let quantile_ms = |q| histogram.value_at_quantile(q) as f64 / 1e3;
+    format!(
+        "p50 {:.1} ms, p99 {:.1} ms ({} samples)",
+        quantile_ms(0.5),
+        quantile_ms(0.99),
+        histogram.len()
+    )
 }
 
 fn print_report(
@@ -267,34 +280,34 @@
     metrics: &PrometheusHandle,
     elapsed: Duration,
 ) {
-    println!("requests, whole time of an answer:");
-    for (urgency, histogram) in &report.calls.times {
+    println!("time from request to answer:");
+    for (urgency, histogram) in &report.calls.latencies {
         println!("  {urgency:<5} {}", quantiles(histogram));
     }
     println!(
-        "answers: {} whole, {} not run, {} unknown",
-        report.calls.whole,
+        "answers: {} complete, {} not run, {} unknown",
+        report.calls.complete,
         report.calls.not_run.len(),
         report.calls.unknown
     );
-    println!("jobs, waiting from submit to start:");
-    for (urgency, histogram) in &report.jobs.waits {
+    println!("time from the submission of a job to its start:");
+    for (urgency, histogram) in &report.jobs.wait_times {
         println!("  {urgency:<5} {}", quantiles(histogram));
     }
-    println!("jobs: {} of {} ended well", report.jobs.succeeded, report.jobs.submitted);
+    println!("jobs: {} of {} succeeded", report.jobs.succeeded, report.jobs.submitted);
     let (reads, writes, watches) = stand_in.with(|state| {
         let (reads, writes) = state.store.calls();
         (reads, writes, state.watches)
     });
     let rate = |count: u64| count as f64 / elapsed.as_secs_f64();
     println!(
-        "store calls a second: {:.1} reads, {:.1} swaps, {:.1} watches",
+        "store calls per second: {:.1} reads, {:.1} compare-and-swaps, {:.1} watches",
         rate(reads),
         rate(writes),
         rate(watches)
     );
-    let page = metrics.render();
-    for line in page.lines().filter(|line| line.starts_with("kelplink_ring_full")) {
+    let metrics_text = metrics.render();
+    for line in metrics_text.lines().filter(|line| line.starts_with("kelplink_ring_full")) {
         println!("{line}");
     }
 }
--- a/src/demo/load.rs
+++ b/src/demo/load.rs
@@ -1,4 +1,4 @@
-//! The demo's workload.
+//! The workload of the demo: callers that send requests, and jobs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -24,46 +24,50 @@
 use crate::settings::EntrySettings;
 use crate::standin::StandInState;
 
-/// Longest time for an answer.
-const ANSWER_TIME: Duration = Duration::from_secs(12);
+/// Longest wait for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(12);
 /// Largest answer, in bytes.
-const ANSWER_BYTES: usize = 1 << 20;
-/// Interval between looks at something awaited.
-const LOOK: Duration = Duration::from_millis(20);
+const MAX_ANSWER_BYTES: usize = 1 << 20;
+/// Interval between two polls while waiting for a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What became of the requests.
+/// Outcomes of the requests.
 #[derive(Debug, Default)]
 pub(crate) struct CallReport {
-    pub(crate) whole: u64,
+    /// Complete answers that belong to their request.
+    pub(crate) complete: u64,
+    /// Answers that leave open whether the request ran.
     pub(crate) unknown: u64,
-    pub(crate) foreign: u64,
+    /// Answers that are incomplete or belong to another request.
+    pub(crate) mismatched: u64,
+    /// Requests without an answer.
     pub(crate) unanswered: u64,
     /// Marks of requests that were answered as not run.
     pub(crate) not_run: BTreeSet<String>,
     /// Marks of requests that must run at most once.
-    pub(crate) once: BTreeSet<String>,
-    /// Time of whole answers in microseconds by urgency.
-    pub(crate) times: BTreeMap<&'static str, Histogram<u64>>,
+    pub(crate) at_most_once: BTreeSet<String>,
+    /// Time from request to answer in microseconds by urgency, for requests that ran.
+    pub(crate) latencies: BTreeMap<&'static str, Histogram<u64>>,
 }
 
-/// What became of the jobs.
+/// Outcomes of the jobs.
 #[derive(Debug, Default)]
 pub(crate) struct JobReport {
     pub(crate) submitted: usize,
     pub(crate) succeeded: usize,
-    /// Waiting time in microseconds by urgency.
-    pub(crate) waits: BTreeMap<&'static str, Histogram<u64>>,
+    /// Time from submission to start in microseconds by urgency.
+    pub(crate) wait_times: BTreeMap<&'static str, Histogram<u64>>,
 }
 
-/// What became of all.
+/// Outcomes of the whole workload.
 #[derive(Debug)]
 pub(crate) struct LoadReport {
     pub(crate) calls: CallReport,
     pub(crate) jobs: JobReport,
 }
 
-fn block_on<T>(work: impl Future<Output = Result<T>>) -> Result<T> {
-    runtime::Builder::new_current_thread().enable_all().build()?.block_on(work)
+fn block_on<T>(future: impl Future<Output = Result<T>>) -> Result<T> {
+    runtime::Builder::new_current_thread().enable_all().build()?.block_on(future)
 }
 
 async fn call(
@@ -73,21 +77,21 @@
     path: &str,
     body: impl Into<Bytes>,
 ) -> Result<Response<Bytes>> {
-    let result = http.call(method, address, path, body, ANSWER_TIME, ANSWER_BYTES).await;
+    let result = http.call(method, address, path, body, ANSWER_TIMEOUT, MAX_ANSWER_BYTES).await;
     result.map_err(|error| anyhow!("{error:?}"))
 }
 
-/// Waits until every entry is ready and every failure domain has a leader with its workers.
+/// Waits until every entry is ready and reports all three failure domains in its status.
 pub(crate) fn wait_ready(entries: &[EntrySettings], time: Duration) -> Result<bool> {
     block_on(async {
         let http = HttpClient::new();
         let until = Instant::now() + time;
         while Instant::now() < until {
-            let mut ready = 0;
+            let mut ready_count = 0;
             for entry in entries {
-                let page = call(&http, Method::GET, entry.operators, "/readyz", "").await;
-                let up = page.is_ok_and(|response| response.status() == StatusCode::OK);
-                let domains =
+                let answer = call(&http, Method::GET, entry.operators, "/readyz", "").await;
+                let is_ready = answer.is_ok_and(|response| response.status() == StatusCode::OK);
+                let domain_count =
                     match call(&http, Method::GET, entry.operators, "/v1/status", "").await {
                         Ok(response) => {
                             serde_json::from_slice::<serde_json::Value>(response.body())?["domains"]
@@ -96,12 +100,12 @@
                         }
                         Err(_) => 0,
                     };
-                ready += usize::from(up && domains == 3);
+                ready_count += usize::from(is_ready && domain_count == 3);
             }
-            if ready == entries.len() {
+            if ready_count == entries.len() {
                 return Ok(true);
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(false)
     })
@@ -119,49 +123,53 @@
      processors_milli = 8000\nmemory_mib = 8000\nurgency = \"soon\"\nrun_time_ms = 500\n",
 ];
 
-/// Plans and confirms the intents at different entries and waits until all have them in force.
+/// Plans and confirms each intent at another entry, then waits until all entries apply them.
 pub(crate) fn confirm_intents(entries: &[EntrySettings]) -> Result<bool> {
     block_on(async {
         let http = HttpClient::new();
         for (number, intent) in INTENTS.iter().enumerate() {
-            let at = &entries[number % entries.len()];
-            wait_revision(&http, std::slice::from_ref(at), number as u64).await?;
-            let plan = call(&http, Method::POST, at.operators, "/v1/plan", *intent).await?;
+            let entry = &entries[number % entries.len()];
+            wait_revision(&http, std::slice::from_ref(entry), number as u64).await?;
+            let plan = call(&http, Method::POST, entry.operators, "/v1/plan", *intent).await?;
             let body = plan.into_body();
-            let confirmed = call(&http, Method::POST, at.operators, "/v1/confirm", body).await?;
-            if confirmed.status() != StatusCode::OK {
-                println!("not confirmed: {}", String::from_utf8_lossy(confirmed.body()));
+            let answer = call(&http, Method::POST, entry.operators, "/v1/confirm", body).await?;
+            if answer.status() != StatusCode::OK {
+                println!("plan not confirmed: {}", String::from_utf8_lossy(answer.body()));
                 return Ok(false);
             }
         }
         let accepted = Instant::now();
-        let all = wait_revision(&http, entries, INTENTS.len() as u64).await?;
+        let in_force = wait_revision(&http, entries, INTENTS.len() as u64).await?;
         println!(
-            "in force on all entries {:.0} ms after the last was accepted",
+            "all intents in force on all entries {:.0} ms after the last one was accepted",
             accepted.elapsed().as_secs_f64() * 1e3
         );
-        Ok(all)
+        Ok(in_force)
     })
 }
 
-async fn wait_revision(http: &HttpClient, entries: &[EntrySettings], wanted: u64) -> Result<bool> {
+async fn wait_revision(
+    http: &HttpClient,
+    entries: &[EntrySettings],
+    revision: u64,
+) -> Result<bool> {
     let until = Instant::now() + Duration::from_secs(5);
     while Instant::now() < until {
         let mut count = 0;
         for entry in entries {
-            let page = call(http, Method::GET, entry.operators, "/readyz", "").await?;
-            let value: serde_json::Value = serde_json::from_slice(page.body())?;
-            count += usize::from(value["revision"].as_u64() >= Some(wanted));
+            let answer = call(http, Method::GET, entry.operators, "/readyz", "").await?;
+            let value: serde_json::Value = serde_json::from_slice(answer.body())?;
+            count += usize::from(value["revision"].as_u64() >= Some(revision));
         }
         if count == entries.len() {
             return Ok(true);
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(false)
 }
 
-/// Callers that send requests for a while.
+/// Callers that send requests for a given time, on a thread of their own.
 pub(crate) struct CallerLoad {
     thread: JoinHandle<Result<CallReport>>,
 }
@@ -193,31 +201,32 @@
     let callers: Vec<_> = (0..settings.callers)
         .map(|number| {
             let seed = settings.seed.wrapping_mul(1_000).wrapping_add(u64::from(number));
-            tokio::spawn(one_caller(http.clone(), addresses.clone(), number, seed, until))
+            tokio::spawn(run_caller(http.clone(), addresses.clone(), number, seed, until))
         })
         .collect();
     let mut report = CallReport::default();
     for caller in callers {
-        let part = caller.await?;
-        report.whole += part.whole;
-        report.unknown += part.unknown;
-        report.foreign += part.foreign;
-        report.unanswered += part.unanswered;
-        report.not_run.extend(part.not_run);
-        report.once.extend(part.once);
-        for (urgency, times) in part.times {
-            let sum = report.times.entry(urgency).or_insert_with(new_histogram);
-            sum.add(&times)?;
+        let caller_report = caller.await?;
+        report.complete += caller_report.complete;
+        report.unknown += caller_report.unknown;
+        report.mismatched += caller_report.mismatched;
+        report.unanswered += caller_report.unanswered;
+        report.not_run.extend(caller_report.not_run);
+        report.at_most_once.extend(caller_report.at_most_once);
+        for (urgency, latencies) in caller_report.latencies {
+            let total = report.latencies.entry(urgency).or_insert_with(new_histogram);
+            total.add(&latencies)?;
         }
     }
     Ok(report)
 }
 
 fn new_histogram() -> Histogram<u64> {
-    Histogram::new(3).expect("three digits are allowed")
+    Histogram::new(3).expect("three significant digits are a valid precision")
 }
 
-async fn one_caller(
+/// Sends the requests of one caller, one after another, until `until`.
+async fn run_caller(
     http: HttpClient,
     addresses: Arc<[SocketAddr]>,
     number: u32,
@@ -231,36 +240,45 @@
         sequence += 1;
         let mark = format!("c{number}-{sequence}");
         let urgent = rng.random_bool(0.5);
-        let once = rng.random_bool(0.1);
-        let work = rng.random_range(1..20);
-        let bytes = rng.random_range(0..4_096);
-        let at = rng.random_range(0..addresses.len());
-        let path = format!("/s/attikis/checks/{mark}?work_ms={work}&bytes={bytes}");
+        let at_most_once = rng.random_bool(0.1);
+        let work_ms = rng.random_range(1..20);
+        let padding_bytes = rng.random_range(0..4_096);
+        let first_entry = rng.random_range(0..addresses.len());
+        let path = format!("/s/attikis/checks/{mark}?work_ms={work_ms}&bytes={padding_bytes}");
         let urgency = if urgent { "now" } else { "soon" };
-        if once {
-            report.once.insert(mark.clone());
+        if at_most_once {
+            report.at_most_once.insert(mark.clone());
         }
         let started = Instant::now();
-        let response =
-            send_one(&http, &addresses, at, &path, urgency, once.then_some(&mark), &mark).await;
-        judge(&mut report, response, &mark, bytes, urgency, started);
+        let response = send_request(
+            &http,
+            &addresses,
+            first_entry,
+            &path,
+            urgency,
+            at_most_once.then_some(&mark),
+            &mark,
+        )
+        .await;
+        record_answer(&mut report, response, &mark, padding_bytes, urgency, started);
         sleep(Duration::from_millis(rng.random_range(0..10))).await;
     }
     report
 }
 
-/// Sends a request as a caller behind a balancer: an entry that takes no connection is passed over.
-async fn send_one(
+/// Sends a request to the entry at index `first_entry` or, if that one accepts no connection, to the
+/// next that does, as a load balancer would.
+async fn send_request(
     http: &HttpClient,
     addresses: &[SocketAddr],
-    at: usize,
+    first_entry: usize,
     path: &str,
     urgency: &str,
     key: Option<&String>,
     mark: &str,
 ) -> Option<Response<Bytes>> {
-    for place in 0..addresses.len() {
-        let address = addresses[(at + place) % addresses.len()];
+    for offset in 0..addresses.len() {
+        let address = addresses[(first_entry + offset) % addresses.len()];
         let mut request = Request::builder()
             .method(Method::POST)
             .uri(format!("http://{address}{path}"))
@@ -270,11 +288,11 @@
             request = request.header(IDEMPOTENT_HEADER, "false").header(KEY_HEADER, key);
         }
         let request = request.body(Full::default()).ok()?;
-        match http.send(request, ANSWER_TIME, ANSWER_BYTES).await {
+        match http.send(request, ANSWER_TIMEOUT, MAX_ANSWER_BYTES).await {
             Ok(response) => return Some(response),
             Err(ClientError::NotSent(_) | ClientError::Refused(_)) => {}
             Err(ClientError::NoAnswer(detail)) => {
-                println!("request {mark} had no answer: {detail}");
+                println!("request {mark} received no answer: {detail}");
                 return None;
             }
         }
@@ -282,11 +300,12 @@
     None
 }
 
-fn judge(
+/// Counts the outcome of the request `mark` in `report`.
+fn record_answer(
     report: &mut CallReport,
     response: Option<Response<Bytes>>,
     mark: &str,
-    bytes: u64,
+    padding_bytes: u64,
     urgency: &'static str,
     started: Instant,
 ) {
@@ -299,13 +318,14 @@
         Some("yes") => {
             let body: serde_json::Value =
                 serde_json::from_slice(response.body()).unwrap_or_default();
-            let own = body["mark"] == mark;
-            let whole = body["padding"].as_str().map(str::len) == usize::try_from(bytes).ok();
-            report.foreign += u64::from(!own || !whole);
-            report.whole += u64::from(own && whole);
-            let times = report.times.entry(urgency).or_insert_with(new_histogram);
+            let has_mark = body["mark"] == mark;
+            let is_complete =
+                body["padding"].as_str().map(str::len) == usize::try_from(padding_bytes).ok();
+            report.mismatched += u64::from(!has_mark || !is_complete);
+            report.complete += u64::from(has_mark && is_complete);
+            let latencies = report.latencies.entry(urgency).or_insert_with(new_histogram);
             let micros = u64::try_from(started.elapsed().as_micros()).unwrap_or(u64::MAX);
-            let _ = times.record(micros);
+            let _ = latencies.record(micros);
         }
         Some("no") => {
             report.not_run.insert(mark.to_owned());
@@ -314,8 +334,9 @@
     }
 }
 
-/// Jobs that are submitted while callers send requests.
+/// Jobs that are submitted while callers send requests, on a thread of their own.
 pub(crate) struct JobLoad {
+    /// Name and intent of each job.
     submitted: Vec<(String, &'static str)>,
     thread: JoinHandle<Result<JobReport>>,
 }
@@ -325,14 +346,14 @@
         let mut rng = StdRng::seed_from_u64(settings.seed);
         let mut submitted = Vec::new();
         for number in 0..settings.jobs {
-            let kind = match rng.random_range(0..10) {
+            let intent = match rng.random_range(0..10) {
                 0..5 => "check",
                 5..9 => "review",
                 _ => "mosaic",
             };
-            submitted.push((format!("job-{number}"), kind));
+            submitted.push((format!("job-{number}"), intent));
         }
-        let (jobs, addresses) = (submitted.clone(), callers(entries));
+        let (jobs, addresses) = (submitted.clone(), caller_addresses(entries));
         let thread = spawn(move || block_on(submit_jobs(addresses, jobs)));
         Ok(Self { submitted, thread })
     }
@@ -340,14 +361,14 @@
     pub(crate) fn finish(self, entries: &[EntrySettings], time: Duration) -> Result<JobReport> {
         let mut report = self.thread.join().map_err(|_| anyhow!("the jobs' thread panicked"))??;
         report.submitted = self.submitted.len();
-        let addresses = callers(&entries[1..]);
+        let addresses = caller_addresses(&entries[1..]);
         let names: Vec<String> = self.submitted.iter().map(|(name, _)| name.clone()).collect();
         report.succeeded = block_on(wait_jobs(addresses, names, time))?;
         Ok(report)
     }
 }
 
-fn callers(entries: &[EntrySettings]) -> Vec<SocketAddr> {
+fn caller_addresses(entries: &[EntrySettings]) -> Vec<SocketAddr> {
     entries.iter().map(|entry| entry.callers).collect()
 }
 
@@ -357,43 +378,43 @@
 ) -> Result<JobReport> {
     let http = HttpClient::new();
     let mut report = JobReport::default();
-    for (place, (name, kind)) in jobs.iter().enumerate() {
-        let count = if *kind == "mosaic" { 4 } else { 3 };
+    for (number, (name, intent)) in jobs.iter().enumerate() {
+        let count = if *intent == "mosaic" { 4 } else { 3 };
         let body = serde_json::json!({
-            "id": name, "intent": kind, "count": count,
-            "command": format!("run {}", 50 + place % 7 * 50),
+            "id": name, "intent": intent, "count": count,
+            "command": format!("run {}", 50 + number % 7 * 50),
         });
         let started = Instant::now();
-        let mut at = place;
+        let mut entry = number;
         loop {
-            let address = addresses[at % addresses.len()];
+            let address = addresses[entry % addresses.len()];
             let path = "/v1/workspaces/attikis/jobs";
-            let sent = call(&http, Method::POST, address, path, body.to_string()).await;
-            match sent {
+            let result = call(&http, Method::POST, address, path, body.to_string()).await;
+            match result {
                 Ok(response) if response.status() == StatusCode::ACCEPTED => break,
                 Ok(response) if response.status().is_client_error() => {
                     return Err(anyhow!("{}", String::from_utf8_lossy(response.body())));
                 }
-                _ => sleep(LOOK).await,
+                _ => sleep(POLL_INTERVAL).await,
             }
-            at += 1;
+            entry += 1;
         }
-        if wait_start(&http, &addresses, at, name).await {
-            let urgency = if *kind == "check" { "now" } else { "soon" };
-            let waits = report.waits.entry(urgency).or_insert_with(new_histogram);
+        if wait_start(&http, &addresses, entry, name).await {
+            let urgency = if *intent == "check" { "now" } else { "soon" };
+            let wait_times = report.wait_times.entry(urgency).or_insert_with(new_histogram);
             let micros = u64::try_from(started.elapsed().as_micros()).unwrap_or(u64::MAX);
-            let _ = waits.record(micros);
+            let _ = wait_times.record(micros);
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(report)
 }
 
-/// Waits until a task of the job was seen to run or has ended.
-async fn wait_start(http: &HttpClient, addresses: &[SocketAddr], at: usize, name: &str) -> bool {
+/// Waits until a task of the job runs or has ended; `false` if that takes too long.
+async fn wait_start(http: &HttpClient, addresses: &[SocketAddr], entry: usize, name: &str) -> bool {
     let until = Instant::now() + Duration::from_secs(5);
     while Instant::now() < until {
-        if let Some(view) = look(http, addresses[at % addresses.len()], name).await
+        if let Some(view) = fetch_job(http, addresses[entry % addresses.len()], name).await
             && (!view.record.ended.is_empty() || !view.running.is_empty())
         {
             return true;
@@ -403,12 +424,13 @@
     false
 }
 
-async fn look(http: &HttpClient, address: SocketAddr, name: &str) -> Option<JobView> {
+async fn fetch_job(http: &HttpClient, address: SocketAddr, name: &str) -> Option<JobView> {
     let path = format!("/v1/workspaces/attikis/jobs/{name}");
     let response = call(http, Method::GET, address, &path, "").await.ok()?;
     serde_json::from_slice(response.body()).ok()
 }
 
+/// Waits until all jobs have ended; returns how many succeeded.
 async fn wait_jobs(
     addresses: Vec<SocketAddr>,
     mut names: Vec<String>,
@@ -417,31 +439,31 @@
     let http = HttpClient::new();
     let until = Instant::now() + time;
     let mut succeeded = 0;
-    let mut at = 0;
+    let mut entry = 0;
     while !names.is_empty() && Instant::now() < until {
-        let mut open = Vec::new();
+        let mut pending = Vec::new();
         for name in names {
-            at += 1;
-            let view = look(&http, addresses[at % addresses.len()], &name).await;
-            let over = view.as_ref().is_some_and(|view| view.record.is_over());
-            let well = view.is_some_and(|view| {
+            entry += 1;
+            let view = fetch_job(&http, addresses[entry % addresses.len()], &name).await;
+            let is_over = view.as_ref().is_some_and(|view| view.record.is_over());
+            let has_succeeded = view.is_some_and(|view| {
                 view.record.ended.values().all(|end| *end == crate::job::TaskEnd::Succeeded)
             });
-            succeeded += usize::from(over && well);
-            if !over {
-                open.push(name);
+            succeeded += usize::from(is_over && has_succeeded);
+            if !is_over {
+                pending.push(name);
             }
         }
-        names = open;
-        sleep(LOOK).await;
+        names = pending;
+        sleep(POLL_INTERVAL).await;
     }
     if !names.is_empty() {
-        println!("jobs not over: {names:?}");
+        println!("jobs that have not ended: {names:?}");
     }
     Ok(succeeded)
 }
 
-/// Counts runs of one task that overlap in time, over all workers.
+/// Counts, over all workers, runs of a task that overlap the next run of the same task.
 pub(crate) fn overlapping_runs(state: &StandInState) -> usize {
     let mut runs: BTreeMap<_, Vec<_>> = BTreeMap::new();
     for run in state.workers.values().flat_map(|worker| worker.runs()) {
