--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,6 +1,7 @@
-//! Decisions measured in virtual time, each against a baseline and a bound.
+//! Benchmarks of the decisions, most of them in virtual time, each with a baseline or a bound.
 //!
-//! `cargo bench --bench decisions` prints everything; ratios hold within one run.
+//! `cargo bench --bench decisions` prints all results. Only ratios between figures of the same run
+//! are meaningful.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -17,7 +18,8 @@
 use rand::{RngExt, SeedableRng};
 use tokio::time::Instant;
 
-const UNIX: u64 = 1_800_000_000_000;
+/// Start of the virtual time, in milliseconds since the Unix epoch.
+const START_UNIX_MS: u64 = 1_800_000_000_000;
 
 fn main() {
     println!("one placement decision (pass with one new task among busy workers)");
@@ -27,9 +29,9 @@
     println!("one routing decision (arrive + finish), 50 upstreams of 8 slots");
     routing();
     println!("waiting and packing, virtual time, declared sizes and run times off by up to 5x");
-    for shape in [Shape::hydrosyndesi(), Shape::geoptique()] {
+    for shape in [DeploymentShape::hydrosyndesi(), DeploymentShape::geoptique()] {
         for load in [0.7, 0.9] {
-            policy(&shape, load);
+            compare_policies(&shape, load);
         }
         batch_packing(&shape);
     }
@@ -43,6 +45,7 @@
     sizes();
 }
 
+/// Sizes of stored jobs and configurations.
 fn sizes() {
     let need = ResourceVector::new(1_000, 1_000, 0);
     for tasks in [1, 10, 100, 1_000] {
@@ -83,13 +86,18 @@
     }
 }
 
-fn histogram() -> Histogram<u64> {
-    Histogram::new(3).expect("three digits are allowed")
+fn new_histogram() -> Histogram<u64> {
+    Histogram::new(3).expect("three significant digits are a valid precision")
 }
 
-fn micros(histogram: &Histogram<u64>) -> String {
-    let at = |q| histogram.value_at_quantile(q) as f64 / 1e3;
-    format!("p50 {:.2} us, p99 {:.2} us, max {:.1} us", at(0.5), at(0.99), at(1.0))
+fn format_quantiles(histogram: &Histogram<u64>) -> String {
+    let quantile_us = |q| histogram.value_at_quantile(q) as f64 / 1e3;
+    format!(
+        "p50 {:.2} us, p99 {:.2} us, max {:.1} us",
+        quantile_us(0.5),
+        quantile_us(0.99),
+        quantile_us(1.0)
+    )
 }
 
 fn spec(id: &str, need: ResourceVector, urgency: Urgency, run: Duration) -> JobSpec {
@@ -107,7 +115,7 @@
         cut_off: CutOffRule::Stay,
         run_time: Some(run),
         command: String::new(),
-        accepted: UNIX,
+        accepted: START_UNIX_MS,
     }
 }
 
@@ -119,40 +127,40 @@
     }
 }
 
-/// The time of a pass that places one task on workers that are about 70% full.
+/// Duration of a scheduling pass that places one task when the workers are about 70% full.
 fn placement(workers: usize) {
     let mut rng = StdRng::seed_from_u64(1);
     let mut scheduler = TaskScheduler::new();
-    let mut first_fit = Vec::new();
+    let mut capacities = Vec::new();
     for number in 0..workers {
         let accelerators = if number % 3 == 0 { 2 } else { 0 };
         let capacity = ResourceVector::new(32_000, 64_000, accelerators);
         scheduler.add_worker(worker(number, capacity));
-        first_fit.push(capacity);
+        capacities.push(capacity);
     }
     let now = Instant::now();
-    let need = |rng: &mut StdRng| {
+    let random_need = |rng: &mut StdRng| {
         ResourceVector::new(rng.random_range(1..9) * 500, rng.random_range(1..9) * 1_000, 0)
     };
     let mut running: Vec<(WorkerId, TaskId)> = Vec::new();
-    let fill = workers * 10;
-    let (mut own, mut baseline) = (histogram(), histogram());
-    for number in 0..fill + 5_000 {
+    let warmup_jobs = workers * 10;
+    let (mut pass_times, mut baseline_times) = (new_histogram(), new_histogram());
+    for number in 0..warmup_jobs + 5_000 {
         let id = format!("j{number}");
-        let wanted = need(&mut rng);
+        let need = random_need(&mut rng);
         scheduler.add_job(
-            &JobRecord::new(spec(&id, wanted, Urgency::Now, Duration::from_secs(60))),
+            &JobRecord::new(spec(&id, need, Urgency::Now, Duration::from_secs(60))),
             false,
         );
         let started = std::time::Instant::now();
-        let actions = scheduler.pass(now, UNIX);
-        let taken = started.elapsed();
-        if number >= fill {
-            let _ = own.record(u64::try_from(taken.as_nanos()).unwrap_or(u64::MAX));
+        let actions = scheduler.pass(now, START_UNIX_MS);
+        let pass_time = started.elapsed();
+        if number >= warmup_jobs {
+            let _ = pass_times.record(u64::try_from(pass_time.as_nanos()).unwrap_or(u64::MAX));
             let started = std::time::Instant::now();
-            let found = first_fit.iter().position(|room| wanted.fits(room));
-            let _ =
-                baseline.record(u64::try_from(started.elapsed().as_nanos()).unwrap_or(u64::MAX));
+            let found = capacities.iter().position(|capacity| need.fits(capacity));
+            let _ = baseline_times
+                .record(u64::try_from(started.elapsed().as_nanos()).unwrap_or(u64::MAX));
             std::hint::black_box(found);
         }
         for action in actions {
@@ -160,16 +168,21 @@
                 running.push((worker, task));
             }
         }
-        while running.len() > fill * 7 / 10 {
-            let place = rng.random_range(0..running.len());
-            let (worker, task) = running.swap_remove(place);
-            let usage = TaskUsage { run_time: Duration::from_secs(60), peak: wanted };
+        while running.len() > warmup_jobs * 7 / 10 {
+            let index = rng.random_range(0..running.len());
+            let (worker, task) = running.swap_remove(index);
+            let usage = TaskUsage { run_time: Duration::from_secs(60), peak: need };
             scheduler.task_ended(now, &worker, &task, &TaskOutcome::Succeeded, &usage);
         }
     }
-    println!("  {workers:>5} workers: {}; first fit alone: {}", micros(&own), micros(&baseline));
+    println!(
+        "  {workers:>5} workers: {}; first fit alone: {}",
+        format_quantiles(&pass_times),
+        format_quantiles(&baseline_times)
+    );
 }
 
+/// Duration of routing one request, from its arrival to its end.
 fn routing() {
     let now = Instant::now();
     let timing = TimingSettings::default();
@@ -178,14 +191,14 @@
     let token = FencingToken::granted(1, entry.clone());
     let mut shares = ShareTable::new(now, token, [entry], timing);
     shares.set_upstreams((0..50).map(upstream).collect());
-    supply(&mut router, &mut shares, now);
+    exchange_shares(&mut router, &mut shares, now);
     let mut rng = StdRng::seed_from_u64(2);
-    let mut times = histogram();
+    let mut times = new_histogram();
     let mut busy: Vec<UpstreamSpec> = Vec::new();
     for id in 0..200_000 {
-        let ticket = ticket(id, now + Duration::from_secs(1));
+        let request = slot_request(id, now + Duration::from_secs(1));
         let started = std::time::Instant::now();
-        let actions = router.route_request(now, ticket);
+        let actions = router.route_request(now, request);
         let _ = times.record(u64::try_from(started.elapsed().as_nanos()).unwrap_or(u64::MAX));
         for action in actions {
             if let RouteAction::Send(_, spec) = action {
@@ -193,12 +206,12 @@
             }
         }
         while busy.len() > 200 {
-            let place = rng.random_range(0..busy.len());
-            let spec = busy.swap_remove(place);
+            let index = rng.random_range(0..busy.len());
+            let spec = busy.swap_remove(index);
             router.finish(now, &spec.id, RouteOutcome::Answered, Duration::from_millis(20));
         }
     }
-    println!("  {}", micros(&times));
+    println!("  {}", format_quantiles(&times));
 }
 
 fn upstream(number: usize) -> UpstreamSpec {
@@ -210,12 +223,17 @@
     }
 }
 
-fn ticket(id: u64, deadline: Instant) -> SlotRequest {
+fn slot_request(id: u64, deadline: Instant) -> SlotRequest {
     let (service, workspace) = ("ws/svc".into(), "ws".into());
     SlotRequest { id, service, workspace, rank: u8::from(id.is_multiple_of(2)), deadline }
 }
 
-fn supply(router: &mut RequestRouter, shares: &mut ShareTable, now: Instant) -> Vec<RouteAction> {
+/// Reports the demand of `router` and applies the slots that the leader grants for it.
+fn exchange_shares(
+    router: &mut RequestRouter,
+    shares: &mut ShareTable,
+    now: Instant,
+) -> Vec<RouteAction> {
     let report: DemandReport = router.report(now);
     match shares.report(now, &report) {
         Some(grant) => router.apply(now, &grant),
@@ -223,15 +241,15 @@
     }
 }
 
-/// A deployment's workers and work.
-struct Shape {
+/// Workers and workload of a deployment.
+struct DeploymentShape {
     name: &'static str,
     capacities: Vec<ResourceVector>,
-    /// Share of jobs, need, mean run time, urgency.
+    /// Share of jobs, resources needed, mean run time, whether urgent.
     work: Vec<(f64, ResourceVector, Duration, bool)>,
 }
 
-impl Shape {
+impl DeploymentShape {
     fn hydrosyndesi() -> Self {
         Self {
             name: "Hydrosyndesi, 50 x 32 cores",
@@ -245,8 +263,8 @@
 
     fn geoptique() -> Self {
         let plain = ResourceVector::new(16_000, 64_000, 0);
-        let with = ResourceVector::new(16_000, 64_000, 4);
-        let capacities = (0..50).map(|n| if n % 2 == 0 { with } else { plain }).collect();
+        let accelerated = ResourceVector::new(16_000, 64_000, 4);
+        let capacities = (0..50).map(|n| if n % 2 == 0 { accelerated } else { plain }).collect();
         Self {
             name: "Geoptique, 50 x 16 cores, 100 accelerators",
             capacities,
@@ -262,71 +280,85 @@
         self.capacities.iter().fold(ResourceVector::default(), |sum, c| sum.saturating_add(c))
     }
 
+    /// Draws a job from the workload.
     fn pick(&self, rng: &mut StdRng) -> (ResourceVector, Duration, bool) {
-        let mut place: f64 = rng.random_range(0.0..1.0);
+        let mut position: f64 = rng.random_range(0.0..1.0);
         for (share, need, run, urgent) in &self.work {
-            if place < *share {
+            if position < *share {
                 return (*need, *run, *urgent);
             }
-            place -= share;
+            position -= share;
         }
         let (_, need, run, urgent) = self.work[0];
         (need, run, urgent)
     }
 }
 
-/// One arrival: when, need, true run time, declared run time, urgent.
+/// Arrival of a job.
 #[derive(Clone, Copy)]
-struct Arrival {
-    at: Duration,
+struct JobArrival {
+    /// Time of arrival, from the start of the run.
+    arrival_time: Duration,
     need: ResourceVector,
+    /// Actual run time.
     run: Duration,
+    /// Declared run time.
     declared: Duration,
     urgent: bool,
 }
 
-fn arrivals(shape: &Shape, load: f64, time: Duration) -> Vec<Arrival> {
+/// Draws arrivals that use the fraction `load` of the capacity on average.
+fn arrivals(shape: &DeploymentShape, load: f64, time: Duration) -> Vec<JobArrival> {
     let mut rng = StdRng::seed_from_u64(3);
     let total = shape.total();
-    let work: f64 = shape
+    let mean_work: f64 = shape
         .work
         .iter()
         .map(|(share, need, run, _)| share * need.dominant_share(&total) * run.as_secs_f64())
         .sum();
-    let rate = load / work;
-    let mut at = 0.0;
-    let mut all = Vec::new();
-    while at < time.as_secs_f64() {
-        at += -rng.random_range(f64::EPSILON..1.0_f64).ln() / rate;
-        let (need, mean, urgent) = shape.pick(&mut rng);
-        let run = mean.mul_f64(-rng.random_range(f64::EPSILON..1.0_f64).ln());
+    let rate = load / mean_work;
+    let mut elapsed = 0.0;
+    let mut arrivals = Vec::new();
+    while elapsed < time.as_secs_f64() {
+        elapsed += -rng.random_range(f64::EPSILON..1.0_f64).ln() / rate;
+        let (need, mean_run, urgent) = shape.pick(&mut rng);
+        let run = mean_run.mul_f64(-rng.random_range(f64::EPSILON..1.0_f64).ln());
         let declared = run.mul_f64(rng.random_range(0.2..5.0));
-        all.push(Arrival { at: Duration::from_secs_f64(at), need, run, declared, urgent });
+        arrivals.push(JobArrival {
+            arrival_time: Duration::from_secs_f64(elapsed),
+            need,
+            run,
+            declared,
+            urgent,
+        });
     }
-    all
+    arrivals
 }
 
-/// What a policy did.
+/// Result of a policy.
 struct PolicyRun {
+    /// Waiting times of urgent jobs in microseconds.
     urgent: Histogram<u64>,
+    /// Waiting times of other jobs in microseconds.
     other: Histogram<u64>,
-    /// Mean dominant share in use.
+    /// Mean of the dominant share in use over time.
     used: f64,
 }
 
-fn policy(shape: &Shape, load: f64) {
+/// Compares the scheduler with first come, first served and first fit.
+fn compare_policies(shape: &DeploymentShape, load: f64) {
     let time = Duration::from_secs(1_200);
-    let all = arrivals(shape, load, time);
-    let own = run_own(shape, &all, time);
-    let base = run_first_fit(shape, &all, time);
-    let line = |name: &str, run: &PolicyRun| {
-        let at = |h: &Histogram<u64>, q| h.value_at_quantile(q) as f64 / 1e6;
+    let arrivals = arrivals(shape, load, time);
+    let kelplink_run = run_kelplink(shape, &arrivals, time);
+    let first_fit_run = run_first_fit(shape, &arrivals, time);
+    let print_run = |name: &str, run: &PolicyRun| {
+        let quantile_s = |h: &Histogram<u64>, q| h.value_at_quantile(q) as f64 / 1e6;
         println!(
             "    {name:<12} urgent p50 {:.3} s p99 {:.3} s; other p50 {:.1} s p99 {:.1} s; in use {:.1}%",
-            at(&run.urgent, 0.5),
-            at(&run.urgent, 0.99),
-            at(&run.other, 0.5),
-            at(&run.other, 0.99),
+            quantile_s(&run.urgent, 0.5),
+            quantile_s(&run.urgent, 0.99),
+            quantile_s(&run.other, 0.5),
+            quantile_s(&run.other, 0.99),
             100.0 * run.used
         );
     };
@@ -334,56 +366,57 @@
         "  {} at {:.0}% load, {} jobs (zero wait is the bound)",
         shape.name,
         100.0 * load,
-        all.len()
+        arrivals.len()
     );
-    line("kelplink", &own);
-    line("FCFS + FF", &base);
+    print_run("kelplink", &kelplink_run);
+    print_run("FCFS + FF", &first_fit_run);
 }
 
-/// Ends of running tasks: when, number.
+/// Ends of running tasks: time and job number.
 type EndQueue = BinaryHeap<Reverse<(Duration, usize)>>;
 
-fn run_own(shape: &Shape, all: &[Arrival], time: Duration) -> PolicyRun {
+/// Runs the arrivals with the scheduler in virtual time.
+fn run_kelplink(shape: &DeploymentShape, arrivals: &[JobArrival], time: Duration) -> PolicyRun {
     let mut scheduler = TaskScheduler::new();
     for (number, capacity) in shape.capacities.iter().enumerate() {
         scheduler.add_worker(worker(number, *capacity));
     }
     let base = Instant::now();
-    let mut run = PolicyRun { urgent: histogram(), other: histogram(), used: 0.0 };
+    let mut run = PolicyRun { urgent: new_histogram(), other: new_histogram(), used: 0.0 };
     let mut ends: EndQueue = BinaryHeap::new();
-    let mut place: Vec<Option<WorkerId>> = vec![None; all.len()];
-    let mut started: Vec<Option<Duration>> = vec![None; all.len()];
-    let mut left: Vec<Duration> = all.iter().map(|arrival| arrival.run).collect();
+    let mut placed_on: Vec<Option<WorkerId>> = vec![None; arrivals.len()];
+    let mut started: Vec<Option<Duration>> = vec![None; arrivals.len()];
+    let mut remaining: Vec<Duration> = arrivals.iter().map(|arrival| arrival.run).collect();
     let mut next = 0;
-    let (mut at, mut area, mut held) = (Duration::ZERO, 0.0, ResourceVector::default());
+    let (mut elapsed, mut area, mut in_use) = (Duration::ZERO, 0.0, ResourceVector::default());
     let total = shape.total();
-    while at < time {
-        let arrival = all.get(next).map_or(Duration::MAX, |arrival| arrival.at);
-        let end = ends.peek().map_or(Duration::MAX, |Reverse((end, _))| *end);
-        let wake = scheduler.next_wake().map_or(Duration::MAX, |at| at - base);
-        let step = arrival.min(end).min(wake.max(at)).min(time);
-        area += held.dominant_share(&total) * (step - at).as_secs_f64();
-        at = step;
-        let now = base + at;
-        let unix = UNIX + u64::try_from(at.as_millis()).unwrap_or(0);
-        if arrival <= at {
-            let Arrival { need, declared, urgent, .. } = all[next];
+    while elapsed < time {
+        let next_arrival = arrivals.get(next).map_or(Duration::MAX, |arrival| arrival.arrival_time);
+        let next_end = ends.peek().map_or(Duration::MAX, |Reverse((end, _))| *end);
+        let next_wake = scheduler.next_wake().map_or(Duration::MAX, |wake| wake - base);
+        let step_end = next_arrival.min(next_end).min(next_wake.max(elapsed)).min(time);
+        area += in_use.dominant_share(&total) * (step_end - elapsed).as_secs_f64();
+        elapsed = step_end;
+        let now = base + elapsed;
+        let unix_ms = START_UNIX_MS + u64::try_from(elapsed.as_millis()).unwrap_or(0);
+        if next_arrival <= elapsed {
+            let JobArrival { need, declared, urgent, .. } = arrivals[next];
             let urgency = if urgent { Urgency::Now } else { Urgency::Soon };
             let spec =
-                JobSpec { accepted: unix, ..spec(&format!("{next}"), need, urgency, declared) };
+                JobSpec { accepted: unix_ms, ..spec(&format!("{next}"), need, urgency, declared) };
             scheduler.add_job(&JobRecord::new(spec), false);
             next += 1;
         }
-        while ends.peek().is_some_and(|Reverse((end, _))| *end <= at) {
+        while ends.peek().is_some_and(|Reverse((end, _))| *end <= elapsed) {
             let Some(Reverse((_, number))) = ends.pop() else { break };
-            let Some(worker) = place[number].take() else { continue };
+            let Some(worker) = placed_on[number].take() else { continue };
             let task: TaskId = (JobId::from(format!("{number}").as_str()), 0);
-            held = held.saturating_sub(&all[number].need);
-            let usage = TaskUsage { run_time: all[number].run, peak: all[number].need };
+            in_use = in_use.saturating_sub(&arrivals[number].need);
+            let usage = TaskUsage { run_time: arrivals[number].run, peak: arrivals[number].need };
             scheduler.task_ended(now, &worker, &task, &TaskOutcome::Succeeded, &usage);
         }
         loop {
-            let actions = scheduler.pass(now, unix);
+            let actions = scheduler.pass(now, unix_ms);
             let mut stopped = Vec::new();
             for action in actions {
                 match action {
@@ -391,16 +424,21 @@
                         let number: usize = task.0.parse().unwrap_or(0);
                         scheduler.task_running(now, &task, u64::MAX);
                         if started[number].is_none() {
-                            let waited =
-                                u64::try_from((at - all[number].at).as_micros()).unwrap_or(0);
-                            let target =
-                                if all[number].urgent { &mut run.urgent } else { &mut run.other };
-                            let _ = target.record(waited);
+                            let waited = u64::try_from(
+                                (elapsed - arrivals[number].arrival_time).as_micros(),
+                            )
+                            .unwrap_or(0);
+                            let wait_times = if arrivals[number].urgent {
+                                &mut run.urgent
+                            } else {
+                                &mut run.other
+                            };
+                            let _ = wait_times.record(waited);
                         }
-                        started[number] = Some(at);
-                        place[number] = Some(worker);
-                        held = held.saturating_add(&all[number].need);
-                        ends.push(Reverse((at + left[number], number)));
+                        started[number] = Some(elapsed);
+                        placed_on[number] = Some(worker);
+                        in_use = in_use.saturating_add(&arrivals[number].need);
+                        ends.push(Reverse((elapsed + remaining[number], number)));
                     }
                     PlacementAction::Stop { worker, task, .. } => stopped.push((worker, task)),
                     _ => {}
@@ -411,10 +449,10 @@
             }
             for (worker, task) in stopped {
                 let number: usize = task.0.parse().unwrap_or(0);
-                place[number] = None;
-                held = held.saturating_sub(&all[number].need);
-                let ran = started[number].map_or(Duration::ZERO, |since| at - since);
-                left[number] = left[number].saturating_sub(ran);
+                placed_on[number] = None;
+                in_use = in_use.saturating_sub(&arrivals[number].need);
+                let ran = started[number].map_or(Duration::ZERO, |since| elapsed - since);
+                remaining[number] = remaining[number].saturating_sub(ran);
                 ends.retain(|Reverse((_, other))| *other != number);
                 let usage = TaskUsage::default();
                 scheduler.task_ended(now, &worker, &task, &TaskOutcome::Stopped, &usage);
@@ -425,54 +463,57 @@
     run
 }
 
-fn run_first_fit(shape: &Shape, all: &[Arrival], time: Duration) -> PolicyRun {
-    let mut rooms = shape.capacities.clone();
-    let mut run = PolicyRun { urgent: histogram(), other: histogram(), used: 0.0 };
+/// Runs the arrivals first come, first served with first fit: the first job that does not fit blocks
+/// all later ones.
+fn run_first_fit(shape: &DeploymentShape, arrivals: &[JobArrival], time: Duration) -> PolicyRun {
+    let mut unused = shape.capacities.clone();
+    let mut run = PolicyRun { urgent: new_histogram(), other: new_histogram(), used: 0.0 };
     let mut ends: BinaryHeap<Reverse<(Duration, usize, usize)>> = BinaryHeap::new();
     let mut queue = std::collections::VecDeque::new();
-    let (mut at, mut area, mut held, mut next) =
+    let (mut elapsed, mut area, mut in_use, mut next) =
         (Duration::ZERO, 0.0, ResourceVector::default(), 0);
     let total = shape.total();
-    while at < time {
-        let arrival = all.get(next).map_or(Duration::MAX, |arrival| arrival.at);
-        let end = ends.peek().map_or(Duration::MAX, |Reverse((end, ..))| *end);
-        let step = arrival.min(end).min(time);
-        area += held.dominant_share(&total) * (step - at).as_secs_f64();
-        at = step;
-        if arrival <= at {
+    while elapsed < time {
+        let next_arrival = arrivals.get(next).map_or(Duration::MAX, |arrival| arrival.arrival_time);
+        let next_end = ends.peek().map_or(Duration::MAX, |Reverse((end, ..))| *end);
+        let step_end = next_arrival.min(next_end).min(time);
+        area += in_use.dominant_share(&total) * (step_end - elapsed).as_secs_f64();
+        elapsed = step_end;
+        if next_arrival <= elapsed {
             queue.push_back(next);
             next += 1;
         }
-        while ends.peek().is_some_and(|Reverse((end, ..))| *end <= at) {
-            let Some(Reverse((_, number, place))) = ends.pop() else { break };
-            rooms[place] = rooms[place].saturating_add(&all[number].need);
-            held = held.saturating_sub(&all[number].need);
+        while ends.peek().is_some_and(|Reverse((end, ..))| *end <= elapsed) {
+            let Some(Reverse((_, number, worker))) = ends.pop() else { break };
+            unused[worker] = unused[worker].saturating_add(&arrivals[number].need);
+            in_use = in_use.saturating_sub(&arrivals[number].need);
         }
         while let Some(number) = queue.front().copied() {
-            let need = all[number].need;
-            let Some(place) = rooms.iter().position(|room| need.fits(room)) else { break };
+            let need = arrivals[number].need;
+            let Some(worker) = unused.iter().position(|free| need.fits(free)) else { break };
             queue.pop_front();
-            rooms[place] = rooms[place].saturating_sub(&need);
-            held = held.saturating_add(&need);
-            let waited = u64::try_from((at - all[number].at).as_micros()).unwrap_or(0);
-            let target = if all[number].urgent { &mut run.urgent } else { &mut run.other };
-            let _ = target.record(waited);
-            ends.push(Reverse((at + all[number].run, number, place)));
+            unused[worker] = unused[worker].saturating_sub(&need);
+            in_use = in_use.saturating_add(&need);
+            let waited =
+                u64::try_from((elapsed - arrivals[number].arrival_time).as_micros()).unwrap_or(0);
+            let wait_times = if arrivals[number].urgent { &mut run.urgent } else { &mut run.other };
+            let _ = wait_times.record(waited);
+            ends.push(Reverse((elapsed + arrivals[number].run, number, worker)));
         }
     }
     run.used = area / time.as_secs_f64();
     run
 }
 
-/// How full the workers get when more batch work waits than there is room for.
-fn batch_packing(shape: &Shape) {
+/// Share of the capacity in use when more batch work waits than fits on the workers.
+fn batch_packing(shape: &DeploymentShape) {
     let mut rng = StdRng::seed_from_u64(4);
     let mut scheduler = TaskScheduler::new();
     for (number, capacity) in shape.capacities.iter().enumerate() {
         scheduler.add_worker(worker(number, *capacity));
     }
-    let mut rooms = shape.capacities.clone();
-    let mut first_fit_held = ResourceVector::default();
+    let mut unused = shape.capacities.clone();
+    let mut first_fit_in_use = ResourceVector::default();
     let mut needs = BTreeMap::new();
     let mut blocked = false;
     for number in 0..4_000 {
@@ -486,21 +527,21 @@
         needs.insert(format!("{number}"), need);
         scheduler
             .add_job(&JobRecord::new(spec(&format!("{number}"), need, Urgency::Soon, run)), false);
-        match rooms.iter().position(|room| need.fits(room)) {
-            Some(place) if !blocked => {
-                rooms[place] = rooms[place].saturating_sub(&need);
-                first_fit_held = first_fit_held.saturating_add(&need);
+        match unused.iter().position(|free| need.fits(free)) {
+            Some(worker) if !blocked => {
+                unused[worker] = unused[worker].saturating_sub(&need);
+                first_fit_in_use = first_fit_in_use.saturating_add(&need);
             }
             _ => blocked = true,
         }
     }
-    let mut held = ResourceVector::default();
+    let mut in_use = ResourceVector::default();
     let now = Instant::now();
     for second in 0..60 {
-        let at = now + Duration::from_secs(second);
-        for action in scheduler.pass(at, UNIX + second * 1_000) {
+        let pass_time = now + Duration::from_secs(second);
+        for action in scheduler.pass(pass_time, START_UNIX_MS + second * 1_000) {
             if let PlacementAction::Start { need, .. } = action {
-                held = held.saturating_add(&need);
+                in_use = in_use.saturating_add(&need);
             }
         }
     }
@@ -509,114 +550,116 @@
     println!(
         "  {} with more batch work than room: kelplink {:.1}% of the dominant resource, FCFS + FF {:.1}%, volume bound {:.0}%",
         shape.name,
-        100.0 * held.dominant_share(&total),
-        100.0 * first_fit_held.dominant_share(&total),
+        100.0 * in_use.dominant_share(&total),
+        100.0 * first_fit_in_use.dominant_share(&total),
         100.0 * bound
     );
 }
 
-/// Requests beyond what the slots can serve, with and without admission by expected wait.
+/// Answers in time under overload, with and without admission control by expected waiting time.
 fn overload(load: f64) {
-    let good = overload_run(load, 1_024, true);
-    let none = overload_run(load, usize::MAX, false);
+    let with_admission = overload_run(load, 1_024, true);
+    let without_admission = overload_run(load, usize::MAX, false);
     println!(
         "  load {load:.1}: kelplink {:.0} answers in time of {:.0} a second ({:.1}% of capacity, urgent p99 wait {:.0} ms); \
          no admission {:.0} ({:.1}%)",
-        good.0,
-        good.2,
-        100.0 * good.0 / CAPACITY,
-        good.1,
-        none.0,
-        100.0 * none.0 / CAPACITY
+        with_admission.0,
+        with_admission.2,
+        100.0 * with_admission.0 / SERVICE_RATE,
+        with_admission.1,
+        without_admission.0,
+        100.0 * without_admission.0 / SERVICE_RATE
     );
 }
 
-/// Requests a second that 400 slots of 20 ms serve.
-const CAPACITY: f64 = 400.0 / 0.020;
+/// Requests per second that 400 slots serve at 20 ms per request.
+const SERVICE_RATE: f64 = 400.0 / 0.020;
 
-/// Answers in time a second, p99 wait of urgent ones in ms, arrivals a second.
-fn overload_run(load: f64, limit: usize, admission: bool) -> (f64, f64, f64) {
+/// Returns answers in time per second, the p99 waiting time of urgent requests in milliseconds, and
+/// arrivals per second.
+fn overload_run(load: f64, queue_limit: usize, admission: bool) -> (f64, f64, f64) {
     let base = Instant::now();
     let timing =
         TimingSettings { share_ttl: Duration::from_secs(3_600), ..TimingSettings::default() };
     let entry: EntryId = "e0".into();
-    let mut router = RequestRouter::new(entry.clone(), 1, limit, timing);
+    let mut router = RequestRouter::new(entry.clone(), 1, queue_limit, timing);
     let token = FencingToken::granted(1, entry.clone());
     let mut shares = ShareTable::new(base, token, [entry], timing);
     shares.set_upstreams((0..50).map(upstream).collect());
-    supply(&mut router, &mut shares, base);
+    exchange_shares(&mut router, &mut shares, base);
     let mut rng = StdRng::seed_from_u64(5);
     let time = Duration::from_secs(10);
     let deadline = Duration::from_secs(1);
-    let wait = if admission { deadline } else { Duration::from_secs(3_600) };
-    let rate = load * CAPACITY;
+    let max_wait = if admission { deadline } else { Duration::from_secs(3_600) };
+    let rate = load * SERVICE_RATE;
     let mut ends: BinaryHeap<Reverse<(Duration, u64, usize)>> = BinaryHeap::new();
     let mut arrived: Vec<Duration> = Vec::new();
-    let mut waits = histogram();
-    let (mut in_time, mut arrival, mut at) = (0_u64, Duration::ZERO, Duration::ZERO);
-    while at < time {
-        let end = ends.peek().map_or(Duration::MAX, |Reverse((end, ..))| *end);
-        at = arrival.min(end);
-        let now = base + at;
-        let actions = match arrival <= end {
+    let mut wait_times = new_histogram();
+    let (mut in_time, mut next_arrival, mut elapsed) = (0_u64, Duration::ZERO, Duration::ZERO);
+    while elapsed < time {
+        let next_end = ends.peek().map_or(Duration::MAX, |Reverse((end, ..))| *end);
+        elapsed = next_arrival.min(next_end);
+        let now = base + elapsed;
+        let actions = match next_arrival <= next_end {
             true => {
                 let id = arrived.len() as u64;
-                arrived.push(at);
-                arrival +=
+                arrived.push(elapsed);
+                next_arrival +=
                     Duration::from_secs_f64(-rng.random_range(f64::EPSILON..1.0_f64).ln() / rate);
-                router.route_request(now, ticket(id, now + wait))
+                router.route_request(now, slot_request(id, now + max_wait))
             }
             false => {
-                let Some(Reverse((_, id, upstream))) = ends.pop() else { break };
-                let began = arrived[usize::try_from(id).unwrap_or(0)];
-                in_time += u64::from(at - began <= deadline);
-                let name = format!("u{upstream:02}").as_str().into();
-                router.finish(now, &name, RouteOutcome::Answered, Duration::from_millis(20))
+                let Some(Reverse((_, request, upstream))) = ends.pop() else { break };
+                let arrived_at = arrived[usize::try_from(request).unwrap_or(0)];
+                in_time += u64::from(elapsed - arrived_at <= deadline);
+                let id = format!("u{upstream:02}").as_str().into();
+                router.finish(now, &id, RouteOutcome::Answered, Duration::from_millis(20))
             }
         };
         for action in actions {
             if let RouteAction::Send(id, spec) = action {
                 let upstream: usize = spec.id[1..].parse().unwrap_or(0);
-                ends.push(Reverse((at + Duration::from_millis(20), id, upstream)));
+                ends.push(Reverse((elapsed + Duration::from_millis(20), id, upstream)));
                 if id % 2 == 1 {
-                    let waited = at - arrived[usize::try_from(id).unwrap_or(0)];
-                    let _ = waits.record(u64::try_from(waited.as_micros()).unwrap_or(0));
+                    let waited = elapsed - arrived[usize::try_from(id).unwrap_or(0)];
+                    let _ = wait_times.record(u64::try_from(waited.as_micros()).unwrap_or(0));
                 }
             }
         }
     }
     let seconds = time.as_secs_f64();
-    let p99 = waits.value_at_quantile(0.99) as f64 / 1e3;
+    let p99 = wait_times.value_at_quantile(0.99) as f64 / 1e3;
     (in_time as f64 / seconds, p99, arrived.len() as f64 / seconds)
 }
 
-/// How soon slots follow demand.
+/// Number of report rounds until the slots have moved to the entry with all the demand.
 fn share_shift() {
     let base = Instant::now();
     let timing = TimingSettings::default();
-    let names: Vec<EntryId> = ["e0", "e1", "e2"].iter().map(|name| EntryId::from(*name)).collect();
-    let token = FencingToken::granted(1, names[0].clone());
-    let mut shares = ShareTable::new(base, token, names.clone(), timing);
+    let entries: Vec<EntryId> =
+        ["e0", "e1", "e2"].iter().map(|name| EntryId::from(*name)).collect();
+    let token = FencingToken::granted(1, entries[0].clone());
+    let mut shares = ShareTable::new(base, token, entries.clone(), timing);
     shares.set_upstreams((0..50).map(upstream).collect());
     let mut routers: Vec<RequestRouter> =
-        names.iter().map(|name| RequestRouter::new(name.clone(), 1, 1_024, timing)).collect();
+        entries.iter().map(|entry| RequestRouter::new(entry.clone(), 1, 1_024, timing)).collect();
     let mut now = base;
     for _ in 0..8 {
         now += Duration::from_millis(250);
-        routers.iter_mut().for_each(|router| drop(supply(router, &mut shares, now)));
+        routers.iter_mut().for_each(|router| drop(exchange_shares(router, &mut shares, now)));
     }
     for id in 0..600 {
-        routers[0].route_request(now, ticket(id, now + Duration::from_secs(60)));
+        routers[0].route_request(now, slot_request(id, now + Duration::from_secs(60)));
     }
-    let before = routers[0].in_use();
+    let in_use_before = routers[0].in_use();
     let mut rounds = 0;
     while routers[0].in_use() < 390 && rounds < 100 {
         rounds += 1;
         now += Duration::from_millis(100);
-        routers.iter_mut().for_each(|router| drop(supply(router, &mut shares, now)));
+        routers.iter_mut().for_each(|router| drop(exchange_shares(router, &mut shares, now)));
     }
     println!(
-        "  {before} slots in use before, {} of 400 after {rounds} rounds of reports (100 ms apart under load)",
+        "  {in_use_before} slots in use before, {} of 400 after {rounds} rounds of reports (100 ms apart under load)",
         routers[0].in_use()
     );
 }
