--- a/tests/process.rs
+++ b/tests/process.rs
@@ -1,4 +1,4 @@
-//! Entry processes as they run: killed, stopped as planned, and given bad input.
+//! Tests of running entry processes: a killed entry, a planned stop, and invalid input.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,11 +17,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::sleep;
 
-/// Longest wait for anything; a verdict never depends on how long it took.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Longest wait for any condition. No test result depends on how long a wait took.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
+/// The stand-ins and entry processes of a deployment.
 struct Cluster {
     stand_in: StandInServer,
     children: Vec<Option<Child>>,
@@ -30,20 +31,20 @@
     http: HttpClient,
 }
 
-/// One answer: status, what became of the request, body.
+/// An answer of an entry; `ran` is the value of its `kelplink-ran` header.
 struct Answer {
     status: StatusCode,
     ran: String,
     body: Bytes,
 }
 
-/// Starts the stand-in. A process that another test starts at this moment holds the sockets of this one, and so the port that
-/// was just found free, until it runs its program.
+/// Starts the stand-in, with up to 50 retries. A child process that another test forks at this moment inherits the sockets of
+/// this process, so a port that was just found free stays in use until the child executes its program.
 async fn start_stand_in(settings: &StandInSettings) -> StandInServer {
     for _ in 0..50 {
         match StandInServer::start(settings) {
             Ok(server) => return server,
-            Err(error) => eprintln!("the stand-in does not start: {error:#}"),
+            Err(error) => eprintln!("the stand-in did not start: {error:#}"),
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -51,12 +52,12 @@
 }
 
 impl Cluster {
-    /// Entries of one failure domain, two workers and four upstreams.
+    /// Starts `entries` entries of one failure domain with two workers and four upstreams, and waits until all are ready.
     async fn start(name: &str, entries: usize) -> Self {
-        let mut free = free_addresses(8 + 3 * entries).unwrap().into_iter();
-        let mut next = || free.next().unwrap();
+        let mut addresses = free_addresses(8 + 3 * entries).unwrap().into_iter();
+        let mut next = || addresses.next().unwrap();
         let (store, vms) = (next(), next());
-        let machine = |id: String, address, role| VmRecord {
+        let vm_record = |id: String, address, role| VmRecord {
             id,
             domain: "a".into(),
             rack: "r".into(),
@@ -67,11 +68,11 @@
         let mut machines = Vec::new();
         for number in 0..2 {
             let capacity = ResourceVector::new(8_000, 16_000, 0);
-            machines.push(machine(format!("w{number}"), next(), VmRole::Worker { capacity }));
+            machines.push(vm_record(format!("w{number}"), next(), VmRole::Worker { capacity }));
         }
         for number in 0..4 {
             let role = VmRole::Upstream { service: "ws/svc".into(), slots: 8 };
-            machines.push(machine(format!("u{number}"), next(), role));
+            machines.push(vm_record(format!("u{number}"), next(), role));
         }
         let stand_in = start_stand_in(&StandInSettings { store, vms, machines }).await;
         let ports: Vec<[SocketAddr; 3]> = (0..entries).map(|_| [next(), next(), next()]).collect();
@@ -110,21 +111,24 @@
     }
 
     async fn wait_ready(&self) {
-        let began = Instant::now();
+        let started = Instant::now();
         for operators in &self.operators {
             loop {
-                let page = self.get(*operators, "/readyz").await;
-                if page.is_some_and(|answer| answer.status == StatusCode::OK) {
+                let answer = self.get(*operators, "/readyz").await;
+                if answer.is_some_and(|answer| answer.status == StatusCode::OK) {
                     break;
                 }
-                assert!(began.elapsed() < PATIENCE, "not ready");
+                assert!(
+                    started.elapsed() < WAIT_TIMEOUT,
+                    "the entry at {operators} is not ready after {WAIT_TIMEOUT:?}"
+                );
                 sleep(Duration::from_millis(20)).await;
             }
         }
     }
 
-    async fn get(&self, at: SocketAddr, path: &str) -> Option<Answer> {
-        let request = Request::builder().uri(format!("http://{at}{path}"));
+    async fn get(&self, address: SocketAddr, path: &str) -> Option<Answer> {
+        let request = Request::builder().uri(format!("http://{address}{path}"));
         send(&self.http, request.body(Full::default()).unwrap()).await
     }
 
@@ -144,7 +148,7 @@
 }
 
 async fn send(http: &HttpClient, request: Request<Full<Bytes>>) -> Option<Answer> {
-    let response = tokio::time::timeout(PATIENCE, http.request(request)).await.ok()?.ok()?;
+    let response = tokio::time::timeout(WAIT_TIMEOUT, http.request(request)).await.ok()?.ok()?;
     let ran = response.headers().get("kelplink-ran").and_then(|value| value.to_str().ok());
     let ran = ran.unwrap_or_default().to_owned();
     let status = response.status();
@@ -152,8 +156,8 @@
     Some(Answer { status, ran, body })
 }
 
-/// Callers send until told to stop; gives each request's mark and answer.
-async fn load(
+/// Sends `requests` requests from each of `callers` concurrent callers; returns the mark and answer of each.
+async fn send_load(
     http: HttpClient,
     entries: Vec<SocketAddr>,
     callers: u32,
@@ -166,10 +170,10 @@
                 let mut answers = Vec::new();
                 for number in 0..requests {
                     let mark = format!("m{caller}-{number}");
-                    let at = entries[(caller + number) as usize % entries.len()];
+                    let address = entries[(caller + number) as usize % entries.len()];
                     let request = Request::builder()
                         .method("POST")
-                        .uri(format!("http://{at}/s/ws/svc/{mark}?work_ms=20&bytes=2000"))
+                        .uri(format!("http://{address}/s/ws/svc/{mark}?work_ms=20&bytes=2000"))
                         .header("x-mark", &mark)
                         .header("kelplink-idempotent", "false")
                         .body(Full::default())
@@ -180,15 +184,17 @@
             })
         })
         .collect();
-    let mut all = Vec::new();
+    let mut answers = Vec::new();
     for task in tasks {
-        all.extend(task.await.unwrap());
+        answers.extend(task.await.unwrap());
     }
-    all
+    answers
 }
 
-/// What must hold of every answer, counted at the upstreams.
-fn judge(cluster: &Cluster, answers: &[(String, Option<Answer>)]) -> u32 {
+/// Checks every answer against the runs counted at the upstreams: a request runs at most once, an answer that says the
+/// request ran is complete and belongs to it, and a request answered as not run did not run. No upstream may have had more
+/// requests than slots. Returns the number of complete answers.
+fn check_answers(cluster: &Cluster, answers: &[(String, Option<Answer>)]) -> u32 {
     let marks: BTreeMap<String, u32> = cluster.stand_in.with(|state| {
         let mut marks = BTreeMap::new();
         for (mark, count) in state.upstreams.values().flat_map(|upstream| upstream.marks()) {
@@ -196,10 +202,10 @@
         }
         marks
     });
-    let mut whole = 0;
+    let mut complete = 0;
     for (mark, answer) in answers {
         let count = marks.get(mark).copied().unwrap_or(0);
-        expect_that!(count, le(1), "{mark} is not idempotent");
+        expect_that!(count, le(1), "request {mark} is not idempotent and ran more than once");
         let Some(answer) = answer else {
             continue;
         };
@@ -208,61 +214,61 @@
                 let body: serde_json::Value = serde_json::from_slice(&answer.body).unwrap();
                 expect_that!(body["mark"].as_str(), some(eq(mark.as_str())));
                 expect_that!(body["padding"].as_str().map(str::len), some(eq(2_000)));
-                whole += 1;
+                complete += 1;
             }
-            "no" => expect_that!(count, eq(0), "{mark} was answered as not run"),
+            "no" => expect_that!(count, eq(0), "request {mark} was answered as not run but ran"),
             _ => {}
         }
     }
-    let over: u64 = cluster
+    let over_slots: u64 = cluster
         .stand_in
         .with(|state| state.upstreams.values().map(|upstream| upstream.count().over_slots).sum());
-    expect_that!(over, eq(0), "requests beyond the slots");
-    whole
+    expect_that!(over_slots, eq(0), "upstreams had more requests than slots");
+    complete
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_entry_killed_under_load_breaks_no_promise() {
+async fn killing_an_entry_under_load_keeps_all_answers_correct() {
     let mut cluster = Cluster::start("killed", 3).await;
-    let running = tokio::spawn(load(cluster.http.clone(), cluster.callers.clone(), 12, 60));
+    let load_task = tokio::spawn(send_load(cluster.http.clone(), cluster.callers.clone(), 12, 60));
     sleep(Duration::from_millis(400)).await;
     let mut child = cluster.children[1].take().unwrap();
     child.kill().unwrap();
     child.wait().unwrap();
-    let answers = running.await.unwrap();
-    let whole = judge(&cluster, &answers);
-    expect_that!(whole, gt(0));
+    let answers = load_task.await.unwrap();
+    let complete = check_answers(&cluster, &answers);
+    expect_that!(complete, gt(0));
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_planned_stop_under_load_loses_no_request() {
+async fn planned_stop_under_load_loses_no_request() {
     let mut cluster = Cluster::start("stopped", 2).await;
-    let both = load(cluster.http.clone(), vec![cluster.callers[0]], 12, 15);
-    let running = tokio::spawn(both);
+    let load = send_load(cluster.http.clone(), vec![cluster.callers[0]], 12, 15);
+    let load_task = tokio::spawn(load);
     sleep(Duration::from_millis(100)).await;
     cluster.signal(0, "-TERM");
-    let answers = running.await.unwrap();
+    let answers = load_task.await.unwrap();
     let status = cluster.children[0].take().unwrap().wait().unwrap();
     expect_that!(status.code(), some(eq(0)));
-    judge(&cluster, &answers);
-    let sent = cluster.stand_in.with(|state| {
+    check_answers(&cluster, &answers);
+    let totals = cluster.stand_in.with(|state| {
         let counts = state.upstreams.values().map(|upstream| upstream.count());
         counts
             .map(|count| (count.begun, count.answered))
             .fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
     });
-    expect_that!(sent.0, eq(sent.1), "every request that reached an upstream was answered");
+    expect_that!(totals.0, eq(totals.1), "a request that reached an upstream was not answered");
 }
 
 #[gtest]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn bad_input_gets_a_clear_answer_and_loses_nothing() {
+async fn invalid_input_is_refused_and_the_entry_keeps_serving() {
     let cluster = Cluster::start("input", 1).await;
     let (callers, operators) = (cluster.callers[0], cluster.operators[0]);
-    let post = |at: SocketAddr, path: &str, body: Vec<u8>| {
-        let request = Request::builder().method("POST").uri(format!("http://{at}{path}"));
+    let post = |address: SocketAddr, path: &str, body: Vec<u8>| {
+        let request = Request::builder().method("POST").uri(format!("http://{address}{path}"));
         request.body(Full::new(Bytes::from(body))).unwrap()
     };
     let jobs = "/v1/workspaces/ws/jobs";
@@ -280,25 +286,25 @@
         (post(operators, "/v1/plan", vec![0xff, 0xfe]), 400),
         (post(operators, "/v1/confirm", b"{}".to_vec()), 400),
     ];
-    for (request, wanted) in cases {
+    for (request, expected) in cases {
         let name = format!("{} {}", request.method(), request.uri().path());
         let answer = send(&cluster.http, request).await.expect("an answer");
         let text = String::from_utf8_lossy(&answer.body).into_owned();
-        expect_that!(answer.status.as_u16(), eq(wanted), "{name}: {text}");
+        expect_that!(answer.status.as_u16(), eq(expected), "{name}: {text}");
         expect_that!(answer.body.is_empty(), eq(false), "{name}");
     }
-    let mut half_sent = tokio::net::TcpStream::connect(callers).await.unwrap();
-    half_sent
+    let mut connection = tokio::net::TcpStream::connect(callers).await.unwrap();
+    connection
         .write_all(b"POST /s/ws/svc/x HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\nabc")
         .await
         .unwrap();
-    half_sent.shutdown().await.unwrap();
+    connection.shutdown().await.unwrap();
     let mut text = Vec::new();
-    let _ = half_sent.read_to_end(&mut text).await;
+    let _ = connection.read_to_end(&mut text).await;
     let begun = cluster
         .stand_in
         .with(|state| state.upstreams.values().map(|upstream| upstream.count().begun).sum::<u64>());
-    expect_that!(begun, eq(0), "a half-sent request never reaches an upstream");
-    let good = cluster.get(callers, "/s/ws/svc/x").await.expect("an answer");
-    expect_that!(good.ran.as_str(), eq("yes"));
+    expect_that!(begun, eq(0), "a request with an incomplete body reached an upstream");
+    let answer = cluster.get(callers, "/s/ws/svc/x").await.expect("an answer");
+    expect_that!(answer.ran.as_str(), eq("yes"));
 }
