--- a/src/diagnostic.rs
+++ b/src/diagnostic.rs
@@ -1,29 +1,29 @@
-//! Findings about input, collected with their place and reported together.
+//! Diagnostics about input, collected with their positions and reported together.
 
 use std::fmt::{self, Display};
 
 use serde::{Deserialize, Serialize};
 
-/// One mistake in a text: where it is, what was found and what was expected.
+/// A mistake in a text: its position, what was found and what was expected.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct InputDiagnostic {
     /// Name of the file or interface that the text came from.
     pub source: String,
-    /// Line, from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
     /// What is wrong and what was expected.
     pub message: String,
 }
 
 impl InputDiagnostic {
-    /// Makes a finding at a byte offset of `text`.
+    /// Creates a diagnostic for a byte offset of `text`.
     pub(crate) fn at(source: &str, text: &str, offset: usize, message: String) -> Self {
-        let before = &text[..text.floor_char_boundary(offset.min(text.len()))];
-        let line = before.matches('\n').count() + 1;
-        let column = before.chars().rev().take_while(|c| *c != '\n').count() + 1;
+        let prefix = &text[..text.floor_char_boundary(offset.min(text.len()))];
+        let line = prefix.matches('\n').count() + 1;
+        let column = prefix.chars().rev().take_while(|c| *c != '\n').count() + 1;
         Self { source: source.to_owned(), line, column, message }
     }
 }
@@ -34,7 +34,7 @@
     }
 }
 
-/// All findings about one text.
+/// All diagnostics about one text.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct DiagnosticList(pub Vec<InputDiagnostic>);
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers. They are cheap to clone, compare by content and travel as plain strings.
+//! Identifiers. They are cheap to clone, compare by content and are serialized as plain strings.
 
 use std::sync::Arc;
 
@@ -12,24 +12,24 @@
 pub type RackId = Arc<str>;
 /// Name of an upstream.
 pub type UpstreamId = Arc<str>;
-/// Name of a workspace, the customer that work is done for.
+/// Name of a workspace: a customer, and the unit of quotas.
 pub type WorkspaceId = Arc<str>;
 /// Name of a service, `workspace/intent`.
 pub type ServiceId = Arc<str>;
-/// Name of a job, `workspace/id` with the id chosen by the client.
+/// Name of a job, `workspace/id`; the client chooses the id.
 pub type JobId = Arc<str>;
-/// Number of a task inside its job.
+/// Index of a task in its job.
 pub type TaskIndex = u32;
-/// A task: its job and its number in it.
+/// A task: its job and its index there.
 pub type TaskId = (JobId, TaskIndex);
-/// Number of a try to run a task: the leader's epoch and round, then a count. It rises with each try
-/// over all leaders.
+/// Number of an attempt to run a task: the leader's epoch and round, then a counter. It increases with
+/// each attempt, also when the leader changes.
 pub type Attempt = u64;
-/// Number of an accepted configuration; it only rises.
+/// Number of an accepted configuration; it never decreases.
 pub type Revision = u64;
 /// Version of a key in the platform's store; 0 means that the key does not exist.
 pub type KeyVersion = u64;
-/// Identifier of one store call, used to pair the answer with the question.
+/// Identifier of a call, used to match its answer to it.
 pub type CallId = u64;
 /// Milliseconds since the Unix epoch.
 pub type UnixMillis = u64;
--- a/src/intent.rs
+++ b/src/intent.rs
@@ -1,4 +1,4 @@
-//! What operators ask for.
+//! Intents: the work that operators declare.
 
 use std::time::Duration;
 
@@ -12,11 +12,11 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobKind {
-    /// Tasks that run until they are stopped and answer requests.
+    /// Tasks that answer requests and run until they are stopped.
     Service,
-    /// Independent tasks that each run once to their end.
+    /// Independent tasks, each of which runs once to completion.
     Batch,
-    /// Tasks that start together or not at all.
+    /// Gang-scheduled tasks: all of them start together, or none does.
     AllAtOnce,
 }
 
@@ -25,11 +25,11 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Urgency {
-    /// A person waits.
+    /// At once, since a person waits for the result.
     Now,
-    /// Has to be finished at the given time, in milliseconds since the Unix epoch.
+    /// In time to finish by the given time, in milliseconds since the Unix epoch.
     By(UnixMillis),
-    /// As capacity allows.
+    /// As soon as capacity allows.
     #[default]
     Soon,
 }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Over what the tasks of a job are spread.
+/// How the tasks of a job are spread.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
@@ -53,58 +53,58 @@
     /// Packed as tightly as possible.
     #[default]
     None,
-    /// Over racks of one failure domain.
+    /// Over the racks of one failure domain.
     Rack,
-    /// Over failure domains, and over racks in each.
+    /// Over failure domains, and over the racks of each.
     FailureDomain,
 }
 
-/// What happens to tasks of a failure domain that is cut off.
+/// What happens to the tasks of a failure domain that is cut off from the others.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CutOffRule {
-    /// They go on where they are and are never started elsewhere.
+    /// They continue to run where they are and are never started elsewhere.
     #[default]
     Stay,
-    /// They stop when their lease lapses and start in another failure domain.
+    /// They stop when their lease expires and are started in another failure domain.
     Move,
 }
 
-/// One statement of an operator.
+/// Work as an operator declares it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct IntentSpec {
-    /// The workspace the work belongs to.
+    /// Workspace that the work belongs to.
     pub workspace: WorkspaceId,
     /// Name of the intent in its workspace.
     pub name: ServiceId,
     /// Kind of work.
     pub kind: JobKind,
-    /// Reservation of each task; a hard bound.
+    /// Resources reserved for each task; a task that exceeds them is stopped.
     pub need: ResourceVector,
-    /// Number of tasks to run; 0 makes a template that callers submit jobs of.
+    /// Number of tasks to run; 0 makes the intent a template for jobs that callers submit.
     pub count: u32,
     /// How soon tasks have to start.
     pub urgency: Urgency,
-    /// Whether a task or request may be run again after it may have run.
+    /// Whether a task or request may be run again when it may have run already.
     pub idempotent: bool,
-    /// Over what tasks are spread.
+    /// How tasks are spread.
     pub spread: SpreadRule,
-    /// What happens when the failure domain is cut off.
+    /// What happens to tasks when their failure domain is cut off.
     pub cut_off: CutOffRule,
-    /// Only this failure domain may run it.
+    /// The only failure domain that may run the work; any if absent.
     pub domain: Option<DomainId>,
-    /// Declared run time of a task; a first guess that is corrected by what is seen.
+    /// Declared run time of a task; a first estimate that is corrected by observed run times.
     pub run_time: Option<Duration>,
-    /// Upper bound on the resources that the whole workspace may hold.
+    /// Upper bound on the resources of all tasks of the workspace.
     pub quota: Option<ResourceVector>,
-    /// What the worker runs; opaque to the scheduler.
+    /// Command that the worker runs; opaque to the scheduler.
     pub command: String,
 }
 
 impl IntentSpec {
-    /// The name under which callers reach it, `workspace/name`.
+    /// Name that callers use for the intent, `workspace/name`.
     pub fn service(&self) -> ServiceId {
         format!("{}/{}", self.workspace, self.name).into()
     }
--- a/src/intent_file.rs
+++ b/src/intent_file.rs
@@ -1,4 +1,4 @@
-//! Reads intents that operators write in TOML.
+//! Parses intents that operators write in TOML.
 
 use jiff::Timestamp;
 
@@ -21,7 +21,7 @@
 /// Longest declared run time: thirty days.
 const MAX_RUN_TIME_MS: u64 = 30 * 24 * 3_600_000;
 
-/// Parses one intent; every mistake is found before any is reported.
+/// Parses an intent; on failure the error lists all mistakes, not only the first.
 pub fn parse_intent(source: &str, text: &str) -> Result<IntentSpec> {
     let (table, mut sink) = DiagnosticSink::parse(source, text);
     let mut reader = TableReader::new(&table);
@@ -52,8 +52,8 @@
         ("failure-domain", SpreadRule::FailureDomain),
     ];
     let spread = reader.choice("spread", &spreads, Some(SpreadRule::None), sink);
-    let rules = [("stay", CutOffRule::Stay), ("move", CutOffRule::Move)];
-    let cut_off = reader.choice("cut_off", &rules, Some(CutOffRule::Stay), sink);
+    let cut_off_rules = [("stay", CutOffRule::Stay), ("move", CutOffRule::Move)];
+    let cut_off = reader.choice("cut_off", &cut_off_rules, Some(CutOffRule::Stay), sink);
     let domain = reader.optional_string("failure_domain", sink);
     let run_time = reader.integer("run_time_ms", 0..=MAX_RUN_TIME_MS, Some(0), sink);
     let command = reader.optional_string("command", sink).unwrap_or_default();
@@ -91,7 +91,7 @@
     }
 }
 
-/// Tells whether `name` may be used as a part of an identifier.
+/// Returns whether `name` may be a part of an identifier.
 pub(crate) fn is_name(name: &str) -> bool {
     (1..=64).contains(&name.len())
         && name.chars().all(|c| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.'))
@@ -104,7 +104,7 @@
     let millicores = reader.integer("processors_milli", 1..=MAX_MILLICORES, None, sink);
     let memory = reader.integer("memory_mib", 1..=MAX_MEMORY_MIB, None, sink);
     let accelerators = reader.integer("accelerators", 0..=MAX_ACCELERATORS, Some(0), sink);
-    vector(millicores?, memory?, accelerators?)
+    resource_vector(millicores?, memory?, accelerators?)
 }
 
 fn read_quota(
@@ -112,15 +112,15 @@
     sink: &mut DiagnosticSink<'_>,
 ) -> Option<ResourceVector> {
     let mut quota = reader.table("quota", sink)?;
-    let bound = u64::from(u32::MAX);
-    let millicores = quota.integer("processors_milli", 0..=bound, None, sink);
-    let memory = quota.integer("memory_mib", 0..=bound, None, sink);
-    let accelerators = quota.integer("accelerators", 0..=bound, Some(0), sink);
+    let max_amount = u64::from(u32::MAX);
+    let millicores = quota.integer("processors_milli", 0..=max_amount, None, sink);
+    let memory = quota.integer("memory_mib", 0..=max_amount, None, sink);
+    let accelerators = quota.integer("accelerators", 0..=max_amount, Some(0), sink);
     quota.finish(sink);
-    vector(millicores?, memory?, accelerators?)
+    resource_vector(millicores?, memory?, accelerators?)
 }
 
-fn vector(millicores: u64, memory: u64, accelerators: u64) -> Option<ResourceVector> {
+fn resource_vector(millicores: u64, memory: u64, accelerators: u64) -> Option<ResourceVector> {
     Some(ResourceVector::new(
         u32::try_from(millicores).ok()?,
         u32::try_from(memory).ok()?,
@@ -137,12 +137,12 @@
         None | Some("soon") => Some(Urgency::Soon),
         Some("now") => Some(Urgency::Now),
         Some(time) => {
-            let parsed = parse_time(time);
-            if parsed.is_none() {
+            let deadline = parse_time(time);
+            if deadline.is_none() {
                 let expected = "expected \"now\", \"soon\" or a time like \"2026-12-03T06:00:00Z\"";
                 sink.add(reader.span(), format!("`urgency` is {time:?}: {expected}"));
             }
-            parsed.map(Urgency::By)
+            deadline.map(Urgency::By)
         }
     }
 }
--- a/src/job.rs
+++ b/src/job.rs
@@ -1,4 +1,4 @@
-//! Jobs as the ledger keeps them.
+//! Jobs as the ledger stores them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,42 +9,42 @@
 use crate::intent::{CutOffRule, IntentSpec, JobKind, SpreadRule, Urgency};
 use crate::resources::ResourceVector;
 
-/// What a job needs, fixed when it is accepted.
+/// Definition of a job, fixed when the job is accepted.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct JobSpec {
     /// Name of the job.
     pub id: JobId,
-    /// Workspace that is charged.
+    /// Workspace whose quota the job counts against.
     pub workspace: WorkspaceId,
-    /// Intent that it was made from.
+    /// Intent that the job was made from.
     pub intent: ServiceId,
     /// Revision of that intent.
     pub revision: Revision,
     /// Kind of work.
     pub kind: JobKind,
-    /// Reservation of each task.
+    /// Resources reserved for each task.
     pub need: ResourceVector,
     /// Number of tasks.
     pub count: u32,
     /// How soon tasks have to start.
     pub urgency: Urgency,
-    /// Whether a task may be run again after it may have run.
+    /// Whether a task may be run again when it may have run already.
     pub idempotent: bool,
-    /// Over what tasks are spread.
+    /// How tasks are spread.
     pub spread: SpreadRule,
-    /// What happens when the failure domain is cut off.
+    /// What happens to tasks when their failure domain is cut off.
     pub cut_off: CutOffRule,
     /// Declared run time of a task.
     pub run_time: Option<Duration>,
-    /// What the worker runs.
+    /// Command that the worker runs.
     pub command: String,
-    /// When it was accepted.
+    /// Time at which the job was accepted.
     pub accepted: UnixMillis,
 }
 
 impl JobSpec {
-    /// Makes the job `id` out of an intent.
+    /// Creates the definition of job `id` from an intent.
     pub fn new(id: JobId, intent: &IntentSpec, revision: Revision, accepted: UnixMillis) -> Self {
         Self {
             id,
@@ -65,50 +65,50 @@
     }
 }
 
-/// How a task ended for good.
+/// Final result of a task.
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskEnd {
-    /// It ran to its end.
+    /// The task ran to completion.
     Succeeded,
-    /// It failed and is not tried again.
+    /// The task failed and is not retried.
     Failed(String),
-    /// It was cancelled; `ran` tells whether it had been started.
+    /// The task was cancelled.
     Cancelled {
-        /// Whether a worker had been told to start it.
+        /// Whether a start command had been sent to a worker.
         ran: bool,
     },
-    /// It may have run and must not be run again.
+    /// The task may have run and must not be run again.
     Unknown,
 }
 
-/// A job with what has become of its tasks; the unit that the ledger keeps.
+/// A job with the results of its tasks; the unit that the ledger stores.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct JobRecord {
-    /// What the job needs.
+    /// Definition of the job.
     pub spec: JobSpec,
-    /// Tasks that ended for good.
+    /// Final results of the tasks that have ended.
     pub ended: BTreeMap<TaskIndex, TaskEnd>,
-    /// Tasks that are not idempotent and that a worker may have been told to start.
+    /// Tasks that are not idempotent and for which a start command may have been sent.
     pub started: BTreeSet<TaskIndex>,
-    /// When the last task ended for good.
+    /// Time at which the last task ended.
     #[serde(default)]
     pub over_at: Option<UnixMillis>,
     /// Whether the job was cancelled.
     pub cancelled: bool,
-    /// Why the job was stopped, where it was.
+    /// Why the job was stopped, if it was.
     pub stopped: Option<String>,
-    /// Failure domain that took the job over.
+    /// Failure domain that has taken over the job.
     pub moved: Option<DomainId>,
-    /// Failure domain that it is being taken over from; it must not start until that is done.
+    /// Failure domain from which the job is being taken over; until that is done, no task may start.
     #[serde(default)]
     pub moving_from: Option<DomainId>,
 }
 
 impl JobRecord {
-    /// A job none of whose tasks has ended.
+    /// Creates the record of a new job, of which no task has started or ended.
     pub fn new(spec: JobSpec) -> Self {
         Self {
             spec,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Joins two views of one job: what ended or was started in either did so.
+    /// Merges two records of the same job: a task has ended or started if it did so in either record.
     pub(crate) fn merge(mut self, other: Self) -> Self {
         self.ended.extend(other.ended);
         self.started.extend(other.started);
@@ -132,7 +132,7 @@
         self
     }
 
-    /// Tells whether no task of it will ever run again.
+    /// Returns whether no task of the job will run again.
     pub fn is_over(&self) -> bool {
         self.moved.is_some() || self.ended.len() >= self.spec.count as usize
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! kelplink: a cluster scheduler for unlike workloads.
+//! kelplink: a cluster scheduler for services, batch jobs and gang-scheduled jobs.
 //!
-//! The decisions are state machines without input or output: events and the time come in, actions go
-//! out. Entry processes, tests and benches run the same code, and others can embed it without the
-//! servers around it.
+//! All decisions are made by state machines that perform no I/O: they take events and the current
+//! time, and return actions. Entry processes, tests and benchmarks run the same code, and other
+//! programs can embed it without the servers.
 //!
 //! ```
 //! use std::time::Duration;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,5 +1,5 @@
-//! Logs as JSON lines on standard output, through a bounded queue: a reader that does not keep up
-//! costs lines, which are counted, and never time.
+//! Logging as JSON lines on standard output, through a bounded queue: if the reader of standard output
+//! is too slow, lines are dropped and counted; logging never blocks.
 
 use std::io::Write;
 
@@ -9,15 +9,15 @@
 use serde_json::{Map, json};
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 
-/// Lines that may wait for the reader of standard output: about a second of the busiest leader.
-const WAITING_LINES: usize = 4_096;
+/// Largest number of queued lines: about one second of output of the busiest leader.
+const MAX_QUEUED_LINES: usize = 4_096;
 
-/// What every line of a process carries.
+/// Fields that every line of a process contains.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LogIdentity {
-    /// Failure domain.
+    /// Failure domain of the process.
     pub(crate) domain: String,
-    /// Entry.
+    /// Name of the entry process.
     pub(crate) entry: String,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Keeps the queue of lines; what waits is written out when it is dropped.
+/// Guard of the queue of lines; dropping it writes out the queued lines.
 #[must_use]
 pub(crate) struct LogQueue {
     _writer: WorkerGuard,
@@ -41,18 +41,20 @@
     fn drop(&mut self) {
         let dropped = self.dropped.dropped_lines();
         if dropped > 0 {
-            log::warn!(dropped; "lines of the log were dropped");
+            log::warn!(dropped; "log lines were dropped");
         }
     }
 }
 
-/// Starts logging; the variable `KELPLINK_LOG` sets levels, `info` where it is not set.
+/// Starts logging; the variable `KELPLINK_LOG` sets the levels. Without it the level is `info`, and
+/// `warn` for the modules `jsonrpsee` and `gotham`.
 pub(crate) fn start_logging(identity: LogIdentity) -> LogQueue {
-    let (lines, writer) =
-        NonBlockingBuilder::default().buffered_lines_limit(WAITING_LINES).finish(std::io::stdout());
+    let (lines, writer) = NonBlockingBuilder::default()
+        .buffered_lines_limit(MAX_QUEUED_LINES)
+        .finish(std::io::stdout());
     let dropped = lines.error_counter();
     let env = Env::new().filter_or("KELPLINK_LOG", "info,jsonrpsee=warn,gotham=warn");
-    let started = Builder::from_env(env)
+    let result = Builder::from_env(env)
         .target(Target::Pipe(Box::new(lines)))
         .format(move |out, record| {
             let mut line = Map::new();
@@ -66,8 +68,8 @@
             writeln!(out, "{}", serde_json::Value::Object(line))
         })
         .try_init();
-    if started.is_err() {
-        log::debug!("logging was started before");
+    if result.is_err() {
+        log::debug!("a logger was already installed");
     }
     LogQueue { _writer: writer, dropped }
 }
--- a/src/message.rs
+++ b/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between entry processes, and calls of callers and operators to the controllers.
+//! Messages between entry processes, and calls from callers and operators to the controllers.
 
 use std::collections::BTreeMap;
 
@@ -11,41 +11,41 @@
 use crate::routing::{DemandReport, ShareGrant};
 use crate::token::FencingToken;
 
-/// Version of the messages between entry processes. Unknown fields are ignored, so that it only
-/// rises when an older process could misunderstand a newer one.
+/// Version of the messages between entry processes. Receivers ignore unknown fields, so the version is
+/// increased only when an older process could misinterpret a message of a newer one.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// What a leader tells about itself.
+/// Status that a leader reports about itself.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct LeaderStatus {
-    /// Its token.
+    /// Fencing token of the leader.
     pub token: FencingToken,
-    /// Version of the lease it wrote last.
+    /// Version of the lease that the leader wrote last.
     pub lease_version: Option<KeyVersion>,
-    /// What its failure domain has.
+    /// Summary of its failure domain.
     pub summary: DomainSummary,
     /// Number of record groups sent to followers.
     pub warm_seq: u64,
 }
 
-/// Sent by each entry to all others again and again.
+/// Heartbeat that each entry sends to all others periodically.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct PeerHeartbeat {
-    /// Version of the messages it speaks.
+    /// Version of the messages that the sender uses.
     pub protocol: u32,
-    /// Its failure domain.
+    /// Failure domain of the sender.
     pub domain: DomainId,
-    /// Which start of the process.
+    /// Number that differs between starts of the process.
     pub boot: u64,
-    /// Revision in force there.
+    /// Revision in force at the sender.
     pub revision: Revision,
-    /// Whether it is in a planned stop.
+    /// Whether the sender is in a planned stop.
     pub draining: bool,
-    /// Set while it leads its failure domain.
+    /// Set while the sender leads its failure domain.
     pub leading: Option<LeaderStatus>,
-    /// Free slots by service; `None` where they are as told before.
+    /// Free slots by service; `None` leaves the values of the last report in place.
     pub free_slots: Option<BTreeMap<ServiceId, u32>>,
 }
 
@@ -54,45 +54,47 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerMessage {
-    /// Heartbeat.
+    /// A heartbeat.
     Hello(PeerHeartbeat),
-    /// Please send your configuration.
+    /// Requests the configuration of the receiver.
     AskConfig,
-    /// The sender's configuration.
+    /// The configuration of the sender.
     Config(Box<ConfigRevision>),
-    /// An entry asks its leader for slots.
+    /// Requests slots from the leader.
     Demand(DemandReport),
-    /// The leader's answer.
+    /// The answer of the leader to a demand for slots.
     Grant(ShareGrant),
-    /// A client's call handed to the leader that can answer it.
+    /// A client's call, forwarded to the leader that can answer it.
     Call(CallId, ClientCall),
-    /// Its answer.
+    /// The answer to a forwarded call.
     Answer(CallId, ClientAnswer),
-    /// Records that a follower keeps warm. The first of a leader replaces all before.
+    /// Ledger records that a follower keeps in memory for a takeover. The first group from a leader
+    /// replaces all earlier records.
     Records {
-        /// The leader.
+        /// Token of the leader.
         token: FencingToken,
         /// Number of the group.
         seq: u64,
-        /// Whether it holds everything.
+        /// Whether the group contains all records of the leader.
         whole: bool,
-        /// Records.
+        /// The records.
         records: Vec<LedgerRecord>,
     },
-    /// A follower missed a group.
+    /// Requests all records, because a follower missed a group.
     AskRecords,
-    /// A leader without a lease asks another domain's leader not to take over its tasks.
+    /// Request of a leader without a lease to the leader of another failure domain not to take over
+    /// its tasks.
     AskHold {
-        /// Its failure domain.
+        /// Failure domain of the sender.
         domain: DomainId,
-        /// Epoch of its token.
+        /// Epoch of the token of the sender.
         epoch: u64,
-        /// Number of the question.
+        /// Number of the request.
         seq: u64,
     },
-    /// They will not be taken over for the hold time from now.
+    /// Confirms that the tasks will not be taken over for the hold time, counted from now.
     GrantHold {
-        /// The question.
+        /// Number of the request.
         seq: u64,
     },
 }
@@ -101,126 +103,126 @@
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct JobRequest {
-    /// Its name, `workspace/id`.
+    /// Name of the job, `workspace/id`.
     pub id: JobId,
-    /// The template that it is made from.
+    /// Template that the job is made from.
     pub intent: ServiceId,
-    /// Number of tasks; the template's where absent.
+    /// Number of tasks; if absent, that of the template.
     pub count: Option<u32>,
-    /// Command; the template's where absent.
+    /// Command; if absent, that of the template.
     pub command: Option<String>,
 }
 
-/// A call of a caller or operator that needs the controllers.
+/// A call from a caller or operator that the controllers answer.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ClientCall {
-    /// Submit a job.
+    /// Submits a job.
     Submit(JobRequest),
-    /// Cancel a job.
+    /// Cancels a job.
     Cancel(JobId),
-    /// Ask for a job.
+    /// Reads a job.
     Job(JobId),
-    /// Ask for all jobs of a workspace in one failure domain.
+    /// Reads all jobs of a workspace in one failure domain.
     Jobs {
-        /// Failure domain that is asked.
+        /// Failure domain whose jobs are read.
         domain: DomainId,
-        /// Workspace with a slash behind it.
+        /// Name of the workspace, followed by a slash.
         prefix: String,
     },
-    /// Make a request key durable before the request is sent.
+    /// Stores a request key durably before the request is sent.
     ReserveKey {
         /// Service and key.
         id: String,
         /// Digest of the request.
         digest: String,
-        /// Names this reservation.
+        /// Identifier of this reservation.
         holder: String,
     },
-    /// Tell what became of the request.
+    /// Records the outcome of the request.
     CompleteKey {
         /// Service and key.
         id: String,
-        /// The reservation.
+        /// Identifier of the reservation.
         holder: String,
-        /// What is known now.
+        /// New state of the key.
         state: KeyState,
     },
-    /// Work out a plan.
+    /// Computes a plan.
     Plan(PlanRequest),
-    /// Confirm a plan.
+    /// Confirms a plan.
     Confirm(Box<PlanDocument>),
-    /// Ask for the status of the deployment.
+    /// Reads the status of the deployment.
     Status,
-    /// Ask for the state of this process.
+    /// Reads the internal state of this process.
     Dump,
 }
 
-/// A job as callers and operators see it.
+/// A job as it is shown to callers and operators.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct JobView {
-    /// What is kept of it.
+    /// Stored record of the job.
     pub record: JobRecord,
-    /// Failure domain that it belongs to.
+    /// Failure domain that the job belongs to.
     pub domain: DomainId,
-    /// Whether it would survive the loss of all entries of the domain.
+    /// Whether the record would survive the loss of all entries of the failure domain.
     pub durable: bool,
-    /// Tasks that run, with their worker.
+    /// Running tasks, each with its worker.
     pub running: BTreeMap<u32, String>,
-    /// Why it waits.
+    /// Why the job waits, if it does.
     pub waits: Option<String>,
 }
 
-/// What is known about a request key.
+/// Answer to a call about a request key.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KeyAnswer {
-    /// It was reserved now: the request may be sent.
+    /// The key is now reserved: the request may be sent.
     Fresh,
-    /// The first request ran; this was its answer.
+    /// The first request with this key ran and had this answer.
     Answered(StoredAnswer),
-    /// The first request may be running or have run.
+    /// The first request with this key may be running or may have run.
     Unknown,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     Mismatch,
-    /// The change was noted.
+    /// The new state was stored.
     Noted,
 }
 
-/// State of one entry as its peers know it.
+/// State of an entry as known to the entry that answers.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct EntryStatus {
-    /// Its name.
+    /// Name of the entry.
     pub entry: EntryId,
-    /// Its failure domain.
+    /// Failure domain of the entry.
     pub domain: DomainId,
-    /// Revision in force there; `None` when it was not heard from.
+    /// Revision in force there; `None` if no heartbeat was received.
     pub revision: Option<Revision>,
-    /// Milliseconds since it was heard from.
+    /// Milliseconds since the last heartbeat.
     pub silent_ms: u64,
-    /// Whether it leads its failure domain.
+    /// Whether the entry leads its failure domain.
     pub leads: bool,
-    /// Whether it is in a planned stop.
+    /// Whether the entry is in a planned stop.
     pub draining: bool,
 }
 
-/// State of the deployment as one entry knows it.
+/// State of the deployment as known to one entry.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct StatusView {
-    /// The entry that answers.
+    /// Entry that answers.
     pub entry: EntryId,
     /// Revision in force there.
     pub revision: Revision,
-    /// Whether the store answered lately.
+    /// Whether the store answered recently.
     pub store_up: bool,
     /// All entries.
     pub entries: Vec<EntryStatus>,
-    /// Failure domains, as their leaders last told.
+    /// Failure domains, each as its leader last reported it.
     pub domains: BTreeMap<DomainId, DomainSummary>,
     /// Intents in force with their task counts.
     pub intents: BTreeMap<ServiceId, u32>,
@@ -235,15 +237,15 @@
     NoLeader,
     /// The store is needed and cannot be reached; nothing was done.
     StoreDown,
-    /// Too much waits already; nothing was done.
+    /// Too many calls are waiting; nothing was done.
     Busy,
-    /// There is no such thing.
+    /// The named object does not exist.
     NotFound(String),
-    /// It contradicts what is known.
+    /// The call contradicts the existing state.
     Contradiction(String),
-    /// It can never run.
+    /// The submitted work can never run.
     Impossible(String),
-    /// No answer came in time; it may have been done.
+    /// No answer arrived in time; the call may have taken effect.
     Unknown,
 }
 
@@ -256,18 +258,18 @@
     Job(Box<JobView>),
     /// Jobs.
     Jobs(Vec<JobView>),
-    /// What is known about a key.
+    /// Answer to a call about a request key.
     Key(KeyAnswer),
     /// A plan.
     Plan(Box<PlanDocument>),
-    /// The revision that a confirm made.
+    /// The revision that a confirmed plan created.
     Confirmed(Revision),
-    /// A plan was not accepted.
+    /// The plan was not accepted.
     NotConfirmed(ConfirmRefusal),
-    /// The status.
+    /// The status of the deployment.
     Status(Box<StatusView>),
-    /// The state of the process.
+    /// The internal state of the process.
     Dump(serde_json::Value),
-    /// It could not be answered.
+    /// The call could not be answered.
     Refused(CallRefusal),
 }
--- a/src/reader.rs
+++ b/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads TOML tables key by key and collects every finding instead of stopping at the first.
+//! Reads TOML tables key by key and collects all mistakes instead of stopping at the first.
 
 use std::collections::BTreeSet;
 use std::ops::{Range, RangeInclusive};
@@ -10,71 +10,71 @@
 
 use crate::diagnostic::{DiagnosticList, InputDiagnostic};
 
-/// Collects findings about one text.
+/// Collects the diagnostics about one text.
 pub(crate) struct DiagnosticSink<'t> {
     source: &'t str,
     text: &'t str,
-    findings: Vec<InputDiagnostic>,
+    diagnostics: Vec<InputDiagnostic>,
 }
 
 impl<'t> DiagnosticSink<'t> {
-    /// Parses `text`; syntax errors become findings.
+    /// Parses `text`; syntax errors are added as diagnostics.
     pub(crate) fn parse(source: &'t str, text: &'t str) -> (Spanned<DeTable<'t>>, Self) {
         let (table, errors) = DeTable::parse_recoverable(text);
-        let mut sink = Self { source, text, findings: Vec::new() };
+        let mut sink = Self { source, text, diagnostics: Vec::new() };
         for error in errors {
             sink.add(error.span().unwrap_or(0..0), error.message().to_owned());
         }
         (table, sink)
     }
 
-    /// Adds a finding at a byte range.
+    /// Adds a diagnostic for a byte range.
     pub(crate) fn add(&mut self, span: Range<usize>, message: String) {
-        self.findings.push(InputDiagnostic::at(self.source, self.text, span.start, message));
+        self.diagnostics.push(InputDiagnostic::at(self.source, self.text, span.start, message));
     }
 
-    /// Gives `value` when nothing was found, and all findings in order of place otherwise.
+    /// Returns `value` if there are no diagnostics, otherwise all diagnostics in order of position.
     pub(crate) fn finish<T>(mut self, value: Option<T>) -> Result<T, DiagnosticList> {
-        self.findings.sort_by_key(|diagnostic| (diagnostic.line, diagnostic.column));
+        self.diagnostics.sort_by_key(|diagnostic| (diagnostic.line, diagnostic.column));
         match value {
-            Some(value) if self.findings.is_empty() => Ok(value),
-            _ => Err(DiagnosticList(self.findings)),
+            Some(value) if self.diagnostics.is_empty() => Ok(value),
+            _ => Err(DiagnosticList(self.diagnostics)),
         }
     }
 }
 
-/// Reads one table and remembers which keys were asked for.
+/// Reads a table and records which keys were requested, to report unknown keys.
 pub(crate) struct TableReader<'a, 't> {
     table: &'a DeTable<'t>,
     span: Range<usize>,
-    asked: BTreeSet<&'static str>,
+    requested_keys: BTreeSet<&'static str>,
 }
 
 impl<'a, 't> TableReader<'a, 't> {
-    /// Starts reading a table.
+    /// Creates a reader of a table.
     pub(crate) fn new(table: &'a Spanned<DeTable<'t>>) -> Self {
-        Self { table: table.get_ref(), span: table.span(), asked: BTreeSet::new() }
+        Self { table: table.get_ref(), span: table.span(), requested_keys: BTreeSet::new() }
     }
 
     fn get(&mut self, key: &'static str) -> Option<&'a Spanned<DeValue<'t>>> {
-        self.asked.insert(key);
+        self.requested_keys.insert(key);
         self.table.get(key)
     }
 
-    /// A string that must be there and not be empty.
+    /// Reads a string that must be present and not empty.
     pub(crate) fn string(
         &mut self,
         key: &'static str,
         sink: &mut DiagnosticSink<'_>,
     ) -> Option<String> {
-        let found = self.optional_string(key, sink);
+        let text = self.optional_string(key, sink);
         if self.table.get(key).is_none() {
             sink.add(self.span.clone(), format!("missing key `{key}`: expected a string"));
         }
-        found
+        text
     }
 
-    /// A string that may be absent.
+    /// Reads a string that may be absent.
     pub(crate) fn optional_string(
         &mut self,
         key: &'static str,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// A string that parses as `T` and must be there.
+    /// Reads a string that must be present and parse as `T`.
     pub(crate) fn parsed<T: FromStr>(
         &mut self,
         key: &'static str,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// One of a few words, with a default.
+    /// Reads one of the given words; `default` applies if the key is absent, `None` makes it mandatory.
     pub(crate) fn choice<T: Clone>(
         &mut self,
         key: &'static str,
@@ -128,16 +128,17 @@
             }
             return default;
         };
-        let found = value.get_ref().as_str();
-        let hit = words.iter().find(|(word, _)| Some(*word) == found);
-        if hit.is_none() {
-            let shown = found.map_or(value.get_ref().type_str().to_owned(), |f| format!("{f:?}"));
-            sink.add(value.span(), format!("`{key}` is {shown}: expected {}", word_list(words)));
+        let text = value.get_ref().as_str();
+        let choice = words.iter().find(|(word, _)| Some(*word) == text);
+        if choice.is_none() {
+            let actual = text.map_or(value.get_ref().type_str().to_owned(), |t| format!("{t:?}"));
+            sink.add(value.span(), format!("`{key}` is {actual}: expected {}", word_list(words)));
         }
-        hit.map(|(_, value)| value.clone())
+        choice.map(|(_, value)| value.clone())
     }
 
-    /// A whole number in a range, with a default.
+    /// Reads a whole number in a range; `default` applies if the key is absent, `None` makes it
+    /// mandatory.
     pub(crate) fn integer(
         &mut self,
         key: &'static str,
@@ -145,11 +146,11 @@
         default: Option<u64>,
         sink: &mut DiagnosticSink<'_>,
     ) -> Option<u64> {
-        let (low, high) = (*range.start(), *range.end());
+        let (min, max) = (*range.start(), *range.end());
         let Some(value) = self.get(key) else {
             if default.is_none() {
                 let message =
-                    format!("missing key `{key}`: expected a whole number {low} to {high}");
+                    format!("missing key `{key}`: expected a whole number {min} to {max}");
                 sink.add(self.span.clone(), message);
             }
             return default;
@@ -162,14 +163,14 @@
             Some(number) if range.contains(&number) => Some(number),
             _ => {
                 let message =
-                    format!("`{key}` has a wrong value: expected a whole number {low} to {high}");
+                    format!("`{key}` has a wrong value: expected a whole number {min} to {max}");
                 sink.add(value.span(), message);
                 None
             }
         }
     }
 
-    /// A duration in milliseconds, with a default.
+    /// Reads a duration in milliseconds, with a default.
     pub(crate) fn millis(
         &mut self,
         key: &'static str,
@@ -180,7 +181,7 @@
         self.integer(key, range, Some(default), sink).map(Duration::from_millis)
     }
 
-    /// A truth value, with a default.
+    /// Reads a boolean, with a default.
     pub(crate) fn boolean(
         &mut self,
         key: &'static str,
@@ -190,15 +191,15 @@
         let Some(value) = self.get(key) else {
             return Some(default);
         };
-        let found = value.get_ref().as_bool();
-        if found.is_none() {
+        let boolean = value.get_ref().as_bool();
+        if boolean.is_none() {
             let kind = value.get_ref().type_str();
             sink.add(value.span(), format!("`{key}` is a {kind}: expected true or false"));
         }
-        found
+        boolean
     }
 
-    /// The tables of an array of tables; absent means none.
+    /// Reads an array of tables; an absent key gives an empty list.
     pub(crate) fn tables(
         &mut self,
         key: &'static str,
@@ -215,7 +216,11 @@
         for item in array.iter() {
             match item.get_ref().as_table() {
                 Some(table) => {
-                    readers.push(Self { table, span: item.span(), asked: BTreeSet::new() });
+                    readers.push(Self {
+                        table,
+                        span: item.span(),
+                        requested_keys: BTreeSet::new(),
+                    });
                 }
                 None => {
                     sink.add(item.span(), format!("`{key}` holds a non-table: expected a table"))
@@ -225,39 +230,39 @@
         readers
     }
 
-    /// A table that may be absent.
+    /// Reads a table that may be absent.
     pub(crate) fn table(
         &mut self,
         key: &'static str,
         sink: &mut DiagnosticSink<'_>,
     ) -> Option<TableReader<'a, 't>> {
         let value = self.get(key)?;
-        let found = value.get_ref().as_table();
-        if found.is_none() {
+        let table = value.get_ref().as_table();
+        if table.is_none() {
             let kind = value.get_ref().type_str();
             sink.add(value.span(), format!("`{key}` is a {kind}: expected a table [{key}]"));
         }
-        found.map(|table| Self { table, span: value.span(), asked: BTreeSet::new() })
+        table.map(|table| Self { table, span: value.span(), requested_keys: BTreeSet::new() })
     }
 
-    /// Place of the table, for findings about the whole of it.
+    /// Byte range of the table, for diagnostics about the whole table.
     pub(crate) fn span(&self) -> Range<usize> {
         self.span.clone()
     }
 
-    /// Reports each key that nobody asked for.
+    /// Adds a diagnostic for each key that was not requested.
     pub(crate) fn finish(self, sink: &mut DiagnosticSink<'_>) {
         for key in self.table.keys() {
             let name: &str = key.get_ref();
-            if !self.asked.contains(name) {
-                let known = self.asked.iter().copied().collect::<Vec<_>>().join(", ");
-                sink.add(key.span(), format!("unknown key `{name}`: expected one of {known}"));
+            if !self.requested_keys.contains(name) {
+                let known_keys = self.requested_keys.iter().copied().collect::<Vec<_>>().join(", ");
+                sink.add(key.span(), format!("unknown key `{name}`: expected one of {known_keys}"));
             }
         }
     }
 }
 
 fn word_list<T>(words: &[(&str, T)]) -> String {
-    let quoted: Vec<_> = words.iter().map(|(word, _)| format!("\"{word}\"")).collect();
-    quoted.join(" or ")
+    let quoted_words: Vec<_> = words.iter().map(|(word, _)| format!("\"{word}\"")).collect();
+    quoted_words.join(" or ")
 }
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A vector of resources; all arithmetic is checked or saturating.
+/// An amount of each resource; all arithmetic is checked or saturating.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct ResourceVector {
-    /// Accelerators, whole devices.
+    /// Accelerators, in whole devices.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub accelerators: u32,
     /// Processors in thousandths of a core.
@@ -20,19 +20,19 @@
 }
 
 impl ResourceVector {
-    /// Makes a vector from thousandths of a core, MiB and whole accelerators.
+    /// Creates a vector from thousandths of a core, MiB and whole accelerators.
     pub const fn new(millicores: u32, memory_mib: u32, accelerators: u32) -> Self {
         Self { accelerators, millicores, memory_mib }
     }
 
-    /// Tells whether `self` fits into `room` in every dimension.
-    pub fn fits(&self, room: &Self) -> bool {
-        self.millicores <= room.millicores
-            && self.memory_mib <= room.memory_mib
-            && self.accelerators <= room.accelerators
+    /// Returns whether `self` is at most `available` in every dimension.
+    pub fn fits(&self, available: &Self) -> bool {
+        self.millicores <= available.millicores
+            && self.memory_mib <= available.memory_mib
+            && self.accelerators <= available.accelerators
     }
 
-    /// Subtracts, or gives `None` where a dimension would fall below zero.
+    /// Subtracts; returns `None` if a dimension would become negative.
     pub fn checked_sub(&self, other: &Self) -> Option<Self> {
         Some(Self {
             accelerators: self.accelerators.checked_sub(other.accelerators)?,
@@ -41,7 +41,7 @@
         })
     }
 
-    /// Subtracts, stopping at zero in each dimension.
+    /// Subtracts, saturating at zero in each dimension.
     pub fn saturating_sub(&self, other: &Self) -> Self {
         Self {
             accelerators: self.accelerators.saturating_sub(other.accelerators),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Adds, stopping at the largest value in each dimension.
+    /// Adds, saturating at the largest value in each dimension.
     pub fn saturating_add(&self, other: &Self) -> Self {
         Self {
             accelerators: self.accelerators.saturating_add(other.accelerators),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Multiplies every dimension by `count`, stopping at the largest value.
+    /// Multiplies each dimension by `count`, saturating at the largest value.
     pub fn times(&self, count: u32) -> Self {
         Self {
             accelerators: self.accelerators.saturating_mul(count),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A quarter of each dimension, rounded up.
+    /// Returns a quarter of each dimension, rounded up.
     pub fn quarter(&self) -> Self {
         Self {
             accelerators: self.accelerators.div_ceil(4),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The smaller of both in each dimension.
+    /// Returns the smaller value of each dimension.
     pub fn component_min(&self, other: &Self) -> Self {
         Self {
             accelerators: self.accelerators.min(other.accelerators),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The larger of both in each dimension.
+    /// Returns the larger value of each dimension.
     pub fn component_max(&self, other: &Self) -> Self {
         Self {
             accelerators: self.accelerators.max(other.accelerators),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// The largest fraction that `self` takes of `total` over all dimensions.
+    /// Returns the dominant share: the largest fraction of `total` over all dimensions.
     pub fn dominant_share(&self, total: &Self) -> f64 {
         let share = |part: u32, whole: u32| f64::from(part) / f64::from(whole.max(1));
         share(self.millicores, total.millicores)
@@ -103,12 +103,13 @@
             .max(share(self.accelerators, total.accelerators))
     }
 
-    /// Name of the first dimension in which `self` exceeds `room`.
-    pub fn exceeds(&self, room: &Self) -> Option<&'static str> {
+    /// Returns the name of a dimension in which `self` exceeds `available`, checked in the order
+    /// accelerators, memory, processors.
+    pub fn exceeds(&self, available: &Self) -> Option<&'static str> {
         match self {
-            need if need.accelerators > room.accelerators => Some("accelerators"),
-            need if need.memory_mib > room.memory_mib => Some("memory"),
-            need if need.millicores > room.millicores => Some("processors"),
+            need if need.accelerators > available.accelerators => Some("accelerators"),
+            need if need.memory_mib > available.memory_mib => Some("memory"),
+            need if need.millicores > available.millicores => Some("processors"),
             _ => None,
         }
     }
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -1,4 +1,4 @@
-//! Bounded rings that join the threads of a process.
+//! Bounded ring buffers that pass values between the threads of a process.
 
 use std::fmt;
 
@@ -8,11 +8,11 @@
 
 type Result<T> = std::result::Result<(), RingError<T>>;
 
-/// Leaves no value behind in a slot of a ring.
+/// Clears a slot of a ring when it is recycled, so that no value stays behind in it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct EmptySlot;
+pub(crate) struct SlotRecycler;
 
-impl<T> Recycle<Option<T>> for EmptySlot {
+impl<T> Recycle<Option<T>> for SlotRecycler {
     fn new_element(&self) -> Option<T> {
         None
     }
@@ -22,10 +22,10 @@
     }
 }
 
-/// Why a value was not taken.
+/// Why a ring did not take a value.
 #[derive(Debug)]
 pub(crate) enum RingError<T> {
-    /// The ring is full: the receiving thread does not keep up.
+    /// The ring is full: the receiving thread is too slow.
     Full(T),
     /// The receiving thread has ended.
     Closed,
@@ -34,7 +34,7 @@
 /// The sending end of a ring.
 pub(crate) struct RingSender<T> {
     name: &'static str,
-    sender: mpsc::Sender<Option<T>, EmptySlot>,
+    sender: mpsc::Sender<Option<T>, SlotRecycler>,
 }
 
 impl<T> Clone for RingSender<T> {
@@ -50,7 +50,7 @@
 }
 
 impl<T> RingSender<T> {
-    /// Offers a value; a full ring hands it back and counts that.
+    /// Sends without waiting; a full ring returns the value and counts the failure.
     pub(crate) fn offer(&self, value: T) -> Result<T> {
         match self.sender.try_send(Some(value)) {
             Ok(()) => Ok(()),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Waits for room and sends; tells whether the receiving thread still runs.
+    /// Waits for a free slot and sends; returns whether the receiver still exists.
     pub(crate) async fn send(&self, value: T) -> bool {
         self.sender.send(Some(value)).await.is_ok()
     }
@@ -70,23 +70,23 @@
 
 /// The receiving end of a ring.
 pub(crate) struct RingReceiver<T> {
-    receiver: mpsc::Receiver<Option<T>, EmptySlot>,
+    receiver: mpsc::Receiver<Option<T>, SlotRecycler>,
 }
 
 impl<T> RingReceiver<T> {
-    /// Waits for the next value; `None` when all senders are gone.
+    /// Waits for the next value; returns `None` once all senders are dropped and the ring is empty.
     pub(crate) async fn recv(&self) -> Option<T> {
         self.receiver.recv().await.flatten()
     }
 
-    /// The next value, if one is there.
+    /// Returns the next value without waiting, if there is one.
     pub(crate) fn try_recv(&self) -> Option<T> {
         self.receiver.try_recv().ok().flatten()
     }
 }
 
-/// Makes a ring for `capacity` values.
+/// Creates a ring for `capacity` values; `name` is its metric label.
 pub(crate) fn ring<T>(name: &'static str, capacity: usize) -> (RingSender<T>, RingReceiver<T>) {
-    let (sender, receiver) = mpsc::with_recycle(capacity, EmptySlot);
+    let (sender, receiver) = mpsc::with_recycle(capacity, SlotRecycler);
     (RingSender { name, sender }, RingReceiver { receiver })
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry process, read from TOML and checked as a whole.
+//! Settings of an entry process, parsed from TOML and checked as a whole.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,30 +18,30 @@
     pub domain: DomainId,
     /// Address of its JSON-RPC listener.
     pub address: SocketAddr,
-    /// Address of its callers' listener, for requests handed over.
+    /// Address of its listener for callers, to which requests are handed over.
     pub callers: SocketAddr,
 }
 
-/// Time bounds of the coordination; all entries of a deployment use the same.
+/// Time bounds of coordination; all entries of a deployment must use the same values.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TimingSettings {
-    /// Life of the leader's lease in the store.
+    /// Time to live of the leader's lease in the store.
     pub lease_ttl: Duration,
-    /// Life of a task's lease at its worker.
+    /// Time to live of a task's lease at its worker.
     pub task_lease: Duration,
-    /// Life of a share of upstream slots.
+    /// Time to live of a share of upstream slots.
     pub share_ttl: Duration,
-    /// Interval of the exchange with a worker that has no commands waiting.
+    /// Interval of the exchanges with a worker for which no commands wait.
     pub worker_interval: Duration,
     /// Interval between messages to peers.
     pub peer_interval: Duration,
-    /// Shortest interval between two writes of the ledger.
+    /// Shortest interval between two writes to the ledger.
     pub commit_interval: Duration,
     /// How long a command may take to reach its worker.
     pub command_validity: Duration,
-    /// How long another failure domain holds off a move after it was asked.
+    /// How long another failure domain postpones taking over tasks after a request to do so.
     pub hold: Duration,
-    /// Longest life of one attempt at an upstream.
+    /// Longest duration of one attempt at an upstream.
     pub attempt_limit: Duration,
 }
 
@@ -64,13 +64,13 @@
 /// Bounds on what callers may use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LimitSettings {
-    /// Open connections of callers.
+    /// Largest number of open connections of callers.
     pub connections: usize,
-    /// Bytes of one request body.
+    /// Largest size of a request body in bytes.
     pub request_bytes: usize,
-    /// Bytes of one answer, which is collected before its first byte goes out.
+    /// Largest size of an answer in bytes; it is buffered completely before its first byte is sent.
     pub answer_bytes: usize,
-    /// Requests that wait for a slot.
+    /// Largest number of requests that wait for a slot.
     pub waiting: usize,
     /// Longest time for the head of a request to arrive.
     pub head_time: Duration,
@@ -101,15 +101,15 @@
     pub name: EntryId,
     /// Failure domain of this entry.
     pub domain: DomainId,
-    /// Where callers connect.
+    /// Address of the listener for callers.
     pub callers: SocketAddr,
-    /// Where operators connect.
+    /// Address of the listener for operators.
     pub operators: SocketAddr,
-    /// Where peers connect.
+    /// Address of the listener for peers.
     pub peers: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// The platform's list of VMs.
+    /// Address of the platform's list of VMs.
     pub vms: SocketAddr,
     /// All other entries of the deployment.
     pub others: Vec<PeerSettings>,
@@ -120,10 +120,10 @@
 }
 
 impl EntrySettings {
-    /// Parses and checks settings; every mistake is found before any is reported.
+    /// Parses and checks settings; on failure the error lists all mistakes, not only the first.
     ///
     /// # Errors
-    /// All findings, in order of place.
+    /// All diagnostics, in order of position.
     pub fn parse(source: &str, text: &str) -> Result<Self> {
         let (table, mut sink) = DiagnosticSink::parse(source, text);
         let mut reader = TableReader::new(&table);
@@ -133,7 +133,7 @@
     }
 }
 
-const ADDRESS: &str = "an address like \"127.0.0.1:7100\"";
+const EXPECTED_ADDRESS: &str = "an address like \"127.0.0.1:7100\"";
 
 fn read_entry(
     reader: &mut TableReader<'_, '_>,
@@ -141,11 +141,11 @@
 ) -> Option<EntrySettings> {
     let name = reader.string("name", sink);
     let domain = reader.string("failure_domain", sink);
-    let callers = reader.parsed("callers", ADDRESS, sink);
-    let operators = reader.parsed("operators", ADDRESS, sink);
-    let peers = reader.parsed("peers", ADDRESS, sink);
-    let store = reader.parsed("store", ADDRESS, sink);
-    let vms = reader.parsed("vms", ADDRESS, sink);
+    let callers = reader.parsed("callers", EXPECTED_ADDRESS, sink);
+    let operators = reader.parsed("operators", EXPECTED_ADDRESS, sink);
+    let peers = reader.parsed("peers", EXPECTED_ADDRESS, sink);
+    let store = reader.parsed("store", EXPECTED_ADDRESS, sink);
+    let vms = reader.parsed("vms", EXPECTED_ADDRESS, sink);
     let others = read_peers(reader, sink);
     let timing = read_timing(reader, sink);
     let limits = read_limits(reader, sink);
@@ -172,8 +172,8 @@
     for mut table in tables {
         let name = table.string("name", sink);
         let domain = table.string("failure_domain", sink);
-        let address = table.parsed("address", ADDRESS, sink);
-        let callers = table.parsed("callers", ADDRESS, sink);
+        let address = table.parsed("address", EXPECTED_ADDRESS, sink);
+        let callers = table.parsed("callers", EXPECTED_ADDRESS, sink);
         table.finish(sink);
         peers.push(read_peer(name, domain, address, callers));
     }
@@ -202,19 +202,20 @@
     let Some(mut table) = reader.table("timing", sink) else {
         return Some(default);
     };
-    let mut read = |key, low, high, default: Duration| {
+    let mut read_millis = |key, min, max, default: Duration| {
         let default = u64::try_from(default.as_millis()).unwrap_or(u64::MAX);
-        table.millis(key, low..=high, default, sink)
+        table.millis(key, min..=max, default, sink)
     };
-    let lease_ttl = read("lease_ttl_ms", 500, 60_000, default.lease_ttl);
-    let task_lease = read("task_lease_ms", 2_000, 600_000, default.task_lease);
-    let share_ttl = read("share_ttl_ms", 500, 60_000, default.share_ttl);
-    let worker_interval = read("worker_interval_ms", 100, 60_000, default.worker_interval);
-    let peer_interval = read("peer_interval_ms", 50, 10_000, default.peer_interval);
-    let commit_interval = read("commit_interval_ms", 10, 10_000, default.commit_interval);
-    let command_validity = read("command_validity_ms", 100, 10_000, default.command_validity);
-    let hold = read("hold_ms", 1_000, 600_000, default.hold);
-    let attempt_limit = read("attempt_limit_ms", 100, 600_000, default.attempt_limit);
+    let lease_ttl = read_millis("lease_ttl_ms", 500, 60_000, default.lease_ttl);
+    let task_lease = read_millis("task_lease_ms", 2_000, 600_000, default.task_lease);
+    let share_ttl = read_millis("share_ttl_ms", 500, 60_000, default.share_ttl);
+    let worker_interval = read_millis("worker_interval_ms", 100, 60_000, default.worker_interval);
+    let peer_interval = read_millis("peer_interval_ms", 50, 10_000, default.peer_interval);
+    let commit_interval = read_millis("commit_interval_ms", 10, 10_000, default.commit_interval);
+    let command_validity =
+        read_millis("command_validity_ms", 100, 10_000, default.command_validity);
+    let hold = read_millis("hold_ms", 1_000, 600_000, default.hold);
+    let attempt_limit = read_millis("attempt_limit_ms", 100, 600_000, default.attempt_limit);
     let span = table.span();
     table.finish(sink);
     let timing = TimingSettings {
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,10 +1,10 @@
-//! The platform's store as this project uses it: reads and compare-and-swap.
+//! Calls to the platform's store, of which only reads and compare-and-swap are used.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::KeyVersion;
 
-/// One call to the store.
+/// A call to the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StoreRequest {
     /// Reads a key.
@@ -16,7 +16,7 @@
     Swap {
         /// The key.
         key: String,
-        /// Version that the key must have; 0 means that it must not exist.
+        /// Version that the key must have; 0 means that the key must not exist.
         expected: KeyVersion,
         /// New value, at most a megabyte.
         value: String,
@@ -24,7 +24,7 @@
 }
 
 impl StoreRequest {
-    /// The key that the call is about.
+    /// Returns the key that the call reads or writes.
     pub fn key(&self) -> &str {
         match self {
             Self::Read { key } | Self::Swap { key, .. } => key,
@@ -36,31 +36,31 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct StoredValue {
-    /// Version of the key; rises with every write.
+    /// Version of the key; it increases with every write.
     pub version: KeyVersion,
     /// The value.
     pub value: String,
 }
 
-/// What became of a call to the store.
+/// Outcome of a call to the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StoreOutcome {
-    /// The key and its value.
+    /// The key exists and has this value.
     Found(StoredValue),
     /// The key does not exist.
     Missing,
-    /// The write took effect and gave this version.
+    /// The write took effect; the key now has this version.
     Written(KeyVersion),
     /// The key had another version; nothing was written.
     Conflict,
-    /// The store did not take the call; nothing was written.
+    /// The store did not accept the call; nothing was written.
     Unavailable,
-    /// No answer came; the write may have taken effect or may still do so.
+    /// No answer arrived; a write may have taken effect or may still do so.
     Unknown,
 }
 
 impl StoreOutcome {
-    /// Tells whether the store answered at all.
+    /// Returns whether the store answered.
     pub fn answered(&self) -> bool {
         !matches!(self, Self::Unavailable | Self::Unknown)
     }
--- a/src/token.rs
+++ b/src/token.rs
@@ -1,31 +1,31 @@
-//! The fencing token that orders all leaders a failure domain ever has.
+//! The fencing token, which orders all leaders of a failure domain over time.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::EntryId;
 
-/// Orders leaders: by epoch (from the store), then round (without it), then entry.
+/// Orders leaders: first by epoch (from the store), then by round (without the store), then by entry.
 ///
-/// A worker keeps the highest token seen and refuses lower ones, so that of two processes that both
-/// believe to lead only one can act on a worker.
+/// A worker stores the highest token it has received and refuses lower ones. If two processes both act
+/// as leader, only the one with the higher token can therefore command the worker.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 #[derive(Deserialize, Serialize)]
 pub struct FencingToken {
-    /// Raised by every compare-and-swap of the lease record.
+    /// Incremented by every compare-and-swap of the lease record.
     pub epoch: u64,
-    /// Raised by every takeover while the store cannot be reached; 0 when the store granted it.
+    /// Incremented by every takeover while the store cannot be reached; 0 if the store granted the lease.
     pub round: u64,
-    /// The entry process that leads.
+    /// Entry process that leads.
     pub entry: EntryId,
 }
 
 impl FencingToken {
-    /// The token that a lease in the store gives.
+    /// Creates the token of a lease that the store granted.
     pub fn granted(epoch: u64, entry: EntryId) -> Self {
         Self { epoch, round: 0, entry }
     }
 
-    /// The next token after `self` for `entry` without the store.
+    /// Returns the token with which `entry` takes over from the holder of `self` without the store.
     pub fn next_round(&self, entry: EntryId) -> Self {
         Self { epoch: self.epoch, round: self.round + 1, entry }
     }
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -1,7 +1,7 @@
-//! The exchange with a worker, as this project uses it.
+//! Messages of the exchange with a worker.
 //!
-//! One exchange carries commands to the worker and brings the list of all its tasks back. The
-//! contract that a worker has to keep is in `docs/INTERFACES.md`.
+//! An exchange sends commands to the worker and returns the list of all its tasks. The contract that
+//! a worker has to fulfil is in `docs/INTERFACES.md`.
 
 use std::time::Duration;
 
@@ -13,18 +13,18 @@
 use crate::resources::ResourceVector;
 use crate::token::FencingToken;
 
-/// What a task used, as the worker reports it with a lag.
+/// Resource usage of a task; the worker reports it with a delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct TaskUsage {
-    /// How long it has run.
+    /// How long the task has run.
     pub run_time: Duration,
-    /// Largest use seen.
+    /// Largest observed use of each resource.
     pub peak: ResourceVector,
 }
 
 impl TaskUsage {
-    /// Tells whether nothing is known.
+    /// Returns whether no usage is known.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
@@ -35,35 +35,35 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskOutcome {
-    /// It ran to its end.
+    /// The task ran to completion.
     Succeeded,
-    /// It ended with an error.
+    /// The task ended with an error.
     Failed(String),
-    /// It was stopped for using more than its reservation.
+    /// The worker stopped the task because it used more than its reservation.
     OverLimit,
-    /// It was stopped by command or because its lease lapsed; its state was checkpointed.
+    /// The task was stopped by a command or because its lease expired; its state was checkpointed.
     Stopped,
-    /// It was never started.
+    /// The worker refused to start the task.
     Refused(String),
 }
 
-/// What a worker says of one task.
+/// State of a task as its worker reports it.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct TaskReport {
     /// The task.
     pub task: TaskId,
-    /// Number of the try.
+    /// Number of the attempt.
     pub attempt: Attempt,
-    /// Its reservation.
+    /// Resources reserved for the task.
     pub need: ResourceVector,
-    /// What it used; may be left out while it runs.
+    /// Resource usage; may be absent while the task runs.
     #[serde(default, skip_serializing_if = "TaskUsage::is_empty")]
     pub usage: TaskUsage,
-    /// How it ended; `None` while it runs.
+    /// How the task ended; `None` while it runs.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<TaskOutcome>,
-    /// Where it answers requests, for tasks of services.
+    /// Address where the task answers requests, for tasks of services.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<String>,
 }
@@ -73,71 +73,71 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum WorkerCommand {
-    /// Start a task; a repeated start of the same try has no effect.
+    /// Starts a task; repeating the start of the same attempt has no effect.
     Start {
         /// The task.
         task: TaskId,
-        /// Number of the try.
+        /// Number of the attempt.
         attempt: Attempt,
-        /// Its reservation.
+        /// Resources reserved for the task.
         need: ResourceVector,
-        /// What to run.
+        /// Command to run.
         command: String,
-        /// Which of the two leases it lives under.
+        /// Selects which of the two leases the task depends on.
         cut_off: CutOffRule,
-        /// Whether it answers requests.
+        /// Whether the task answers requests.
         service: bool,
     },
-    /// Checkpoint and stop a task. Where it is not known, its start under this try or a lower one
-    /// is refused from now on.
+    /// Checkpoints and stops a task. If the worker does not know the task, it refuses from then on to
+    /// start it with this attempt number or a lower one.
     Stop {
         /// The task.
         task: TaskId,
-        /// Number of the try.
+        /// Number of the attempt.
         attempt: Attempt,
-        /// Why.
+        /// Why the task is stopped.
         reason: StopReason,
     },
-    /// The end of this try is durable: do not list it any more.
+    /// Removes an attempt from the list of tasks, because its end is stored durably.
     Forget {
         /// The task.
         task: TaskId,
-        /// Number of the try.
+        /// Number of the attempt.
         attempt: Attempt,
     },
 }
 
-/// One exchange, sent by a leader.
+/// Request of an exchange, sent by a leader.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct WorkerRequest {
-    /// Orders leaders; the worker refuses a lower one than the highest it has seen.
+    /// Token of the leader; the worker refuses a token lower than the highest it has received.
     pub token: FencingToken,
-    /// The worker's clock after which the request is refused; `None` for a claim, which changes
-    /// nothing but the highest token.
+    /// Time on the worker's clock after which the request is refused; `None` for a claim, which only
+    /// changes the highest token.
     pub not_after: Option<Duration>,
-    /// Start of the worker that the commands are meant for; another start refuses them.
+    /// Worker instance (boot number) that the commands are meant for; another instance refuses them.
     pub boot: Option<u64>,
-    /// How long tasks may go on from now without another exchange.
+    /// How long tasks may continue to run without another exchange.
     pub lease: Duration,
-    /// Whether the lease of tasks that may move is renewed as well.
+    /// Whether the lease of tasks that may move to another failure domain is renewed as well.
     pub renew_movable: bool,
-    /// Commands, carried out in order.
+    /// Commands, executed in order.
     pub commands: Vec<WorkerCommand>,
 }
 
-/// The worker's answer.
+/// Answer of the worker to an exchange.
 #[derive(Clone, Debug, PartialEq)]
 #[derive(Deserialize, Serialize)]
 pub struct WorkerReply {
-    /// Whether the request was carried out.
+    /// Whether the request was executed.
     pub accepted: bool,
-    /// Highest token seen.
+    /// Highest token that the worker has received.
     pub highest: FencingToken,
     /// The worker's monotonic clock.
     pub clock: Duration,
-    /// Tells one start of the worker from another.
+    /// Number that differs between instances of the worker.
     pub boot: u64,
-    /// All tasks: running ones, and ended ones until they are forgotten.
+    /// All tasks: running ones, and ended ones until a `Forget` command removes them.
     pub tasks: Vec<TaskReport>,
 }
