--- a/src/callers/admit.rs
+++ b/src/callers/admit.rs
@@ -16,7 +16,7 @@
 use crate::callers::limit::CollectedBody;
 use crate::ledger::{KeyState, StoredAnswer};
 use crate::message::{ClientAnswer, ClientCall, KeyAnswer};
-use crate::problem::{ProblemDetails, RAN_HEADER, RunState, full};
+use crate::problem::{ProblemDetails, RAN_HEADER, RunState, full_body};
 
 /// Timeout for storing a key or its result.
 const KEY_CALL_TIMEOUT: Duration = Duration::from_secs(4);
@@ -116,7 +116,7 @@
 
 /// Builds the response from the stored answer to the first request with this key.
 fn replayed_response(answer: &StoredAnswer) -> Response<Body> {
-    let mut response = Response::new(full(answer.body.clone()));
+    let mut response = Response::new(full_body(answer.body.clone()));
     *response.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::OK);
     let headers = response.headers_mut();
     let content_type =
--- a/src/callers/dispatch.rs
+++ b/src/callers/dispatch.rs
@@ -27,7 +27,7 @@
 use crate::client::{ClientError, HttpClient};
 use crate::id::EntryId;
 use crate::ledger::{KeyState, StoredAnswer};
-use crate::problem::{ProblemDetails, RAN_HEADER, RunState, full};
+use crate::problem::{ProblemDetails, RAN_HEADER, RunState, full_body};
 use crate::routing::{RejectReason, RouteAction, RouteOutcome, SlotRequest, UpstreamSpec};
 
 /// Maximum number of attempts for one request.
@@ -96,7 +96,7 @@
             reservation.complete(&context, key_state(&response));
         }
         let (parts, bytes) = response.into_parts();
-        let response: Response<Body> = Response::from_parts(parts, full(bytes));
+        let response: Response<Body> = Response::from_parts(parts, full_body(bytes));
         Ok((state, response))
     })
 }
--- a/src/callers/identify.rs
+++ b/src/callers/identify.rs
@@ -73,9 +73,9 @@
     let (workspace, name, target) = split_path(Uri::borrow_from(state))?;
     let service: ServiceId = format!("{workspace}/{name}").into();
     let defaults = context.defaults(&service);
-    let is_known = defaults.is_some() || context.router_state().router.serves(&service);
+    let is_known = defaults.is_some() || context.router_state().router.has_upstream(&service);
     let known_to_peer = context.router_state().peer_slots.contains_key(&service);
-    if !is_known && !context.router_state().router.supplied() {
+    if !is_known && !context.router_state().router.has_applied_grant() {
         let detail = "this entry has no slots yet";
         let problem = ProblemDetails::new(StatusCode::SERVICE_UNAVAILABLE, "not ready", detail);
         return Err(problem.retry_after(NOT_READY_RETRY_AFTER));
--- a/src/config/plan.rs
+++ b/src/config/plan.rs
@@ -250,7 +250,7 @@
         return Some(format!("unknown failure domain {domain}: known are {known}"));
     }
     if let Some(quota) = &spec.quota
-        && let Some(resource) = spec.need.exceeds(quota)
+        && let Some(resource) = spec.need.exceeded_resource(quota)
     {
         return Some(format!("one task needs more {resource} than the quota {quota:?}"));
     }
@@ -262,7 +262,7 @@
     }
     let largest =
         summaries.iter().fold(ResourceVector::default(), |max, s| max.component_max(&s.largest));
-    if let Some(resource) = spec.need.exceeds(&largest) {
+    if let Some(resource) = spec.need.exceeded_resource(&largest) {
         return Some(format!(
             "one task needs more {resource} than the largest worker, {largest:?}"
         ));
--- a/src/domain/controller.rs
+++ b/src/domain/controller.rs
@@ -313,7 +313,7 @@
             _ => {
                 let ledger_is_empty = self.journal.is_empty();
                 if ledger_is_empty {
-                    self.journal.preload(self.warm_records.values().cloned().collect::<Vec<_>>());
+                    self.journal.load_copy(self.warm_records.values().cloned().collect::<Vec<_>>());
                 }
                 self.activate(now);
             }
@@ -331,7 +331,7 @@
                 && record.moving_from.is_none()
             {
                 leader.scheduler.add_job(record, true);
-                leader.scheduler.note_started(record);
+                leader.scheduler.exclude_started_tasks(record);
             }
         }
         leader.active = true;
@@ -532,9 +532,9 @@
             return;
         }
         let movable_until = self.moves.movable_until(now, self.leadership.deadline());
-        leader.scheduler.allow_movable(movable_until.is_some());
+        leader.scheduler.set_movable_allowed(movable_until.is_some());
         let detached = self.leadership.deadline().is_none_or(|deadline| now >= deadline);
-        leader.shares.set_detached(detached);
+        leader.shares.set_even_split_only(detached);
         let outputs = self.fleet.tick(now, movable_until, self.leadership.may_act(now));
         self.apply_fleet_outputs(now, outputs);
     }
--- a/src/domain/jobs.rs
+++ b/src/domain/jobs.rs
@@ -79,9 +79,9 @@
         }
         let leader = self.leader.as_ref().filter(|leader| leader.settled)?;
         let pool = leader.scheduler.pool();
-        if !pool.could_ever_fit(&spec.need) {
+        if !pool.fits_some_worker(&spec.need) {
             let largest = pool.largest();
-            let resource = spec.need.exceeds(&largest).unwrap_or("room on one worker");
+            let resource = spec.need.exceeded_resource(&largest).unwrap_or("room on one worker");
             return Some(format!("a task needs more {resource} than any worker has: {largest:?}"));
         }
         let total_need = spec.need.times(spec.count);
@@ -135,7 +135,7 @@
         let running = live
             .map(|((_, index), live)| (*index, format!("{} on {}", live.label(), live.worker())));
         let durable = self.journal.open() && self.journal.durable(&job_name(id));
-        let waits = leader.scheduler.why_waiting(id);
+        let waits = leader.scheduler.describe_wait(id);
         let domain = self.identity.domain.clone();
         Some(JobView { record, domain, durable, running: running.collect(), waits })
     }
@@ -382,7 +382,7 @@
             .live()
             .iter()
             .filter(|(task, live)| *live.worker() == worker && !is_reported(task, live.attempt()))
-            .filter(|(task, _)| !self.fleet.start_waits(&worker, task))
+            .filter(|(task, _)| !self.fleet.has_queued_start(&worker, task))
             .filter(|(task, _)| !start_not_durable(leader, task))
             .map(|(task, _)| task.clone())
             .collect();
@@ -417,7 +417,7 @@
         }
         let leader = self.leader.as_ref();
         if let Some(at) = leader.and_then(|leader| leader.scheduler.next_check(now, worker)) {
-            self.fleet.look_at(worker, at);
+            self.fleet.schedule_exchange(worker, at);
         }
     }
 
@@ -521,14 +521,14 @@
     /// Marks the leader as settled when the tasks of all workers are known. Tasks that no worker
     /// reported are not running.
     pub(crate) fn settle(&mut self, now: Instant) {
-        let resolved = self.fleet.resolved();
+        let all_resolved = self.fleet.all_resolved();
         let Some(leader) = &mut self.leader else {
             return;
         };
-        if leader.active && !leader.settled && resolved {
+        if leader.active && !leader.settled && all_resolved {
             info!("{} workers are claimed", self.fleet.claimed());
             leader.settled = true;
-            leader.scheduler.clear_suspects();
+            leader.scheduler.clear_possibly_running();
             self.apply_quota_parts();
             self.run_placement(now);
         }
--- a/src/domain/moves.rs
+++ b/src/domain/moves.rs
@@ -154,7 +154,7 @@
         let boot = self.boot;
         self.takeover = Some(TakeoverState {
             leadership: LeadershipController::new(now, entry, &domain, 0, boot, timing)
-                .store_only(),
+                .without_detached_lead(),
             journal: JournalController::new(now, domain.clone(), boot, timing.commit_interval),
             domain,
             stage: TakeoverStage::Lease,
--- a/src/domain/peers.rs
+++ b/src/domain/peers.rs
@@ -487,7 +487,7 @@
     /// Handles the end of the process of a peer.
     pub(crate) fn handle_peer_gone(&mut self, now: Instant, peer: &EntryId) {
         if let Some(leader) = &mut self.leader {
-            leader.shares.forget_entry(peer);
+            leader.shares.reset_entry(peer);
         }
         let own = self.identity.domain.clone();
         if self.peers.leader_of(now, &own).as_ref() == Some(peer) && self.peers.clear_leading(peer)
--- a/src/domain/view.rs
+++ b/src/domain/view.rs
@@ -76,7 +76,7 @@
                 "live": live.collect::<Vec<_>>(),
                 "workers": workers.collect::<Vec<_>>(),
                 "waiting": waiting.map(|(job, tasks)| json!({"job": job, "tasks": tasks})).collect::<Vec<_>>(),
-                "suspects": scheduler.suspects(),
+                "suspects": scheduler.possibly_running_count(),
                 "quarantined": scheduler.quarantined().collect::<Vec<_>>(),
                 "used": scheduler.used(),
                 "upstreams": leader.shares.upstreams().collect::<Vec<_>>(),
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -28,7 +28,7 @@
 use crate::http::{ListenerLimits, PrepareState, serve_http};
 use crate::intent_file::parse_intent;
 use crate::message::{CallRefusal, ClientAnswer, ClientCall};
-use crate::problem::{ProblemDetails, full, json_response};
+use crate::problem::{ProblemDetails, full_body, json_response};
 use crate::ring::RingSender;
 
 /// Timeout for the answer of another loop.
@@ -143,7 +143,7 @@
     let revision = context.control_status.revision.load(Ordering::Relaxed) as f64;
     metrics::gauge!("kelplink_revision").set(revision);
     context.metrics.run_upkeep();
-    let mut response = Response::new(full(context.metrics.render()));
+    let mut response = Response::new(full_body(context.metrics.render()));
     let content_type = HeaderValue::from_static("text/plain; version=0.0.4");
     response.headers_mut().insert(CONTENT_TYPE, content_type);
     response
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -138,7 +138,7 @@
     }
 
     /// Tells whether every worker is claimed or is certain to have no tasks left.
-    pub fn resolved(&self) -> bool {
+    pub fn all_resolved(&self) -> bool {
         let is_resolved = |m: &FleetMember| {
             m.lease_expired || matches!(m.claim_state, ClaimState::Claimed { .. })
         };
@@ -206,14 +206,14 @@
     }
 
     /// Schedules an exchange with a worker no later than at the given time.
-    pub fn look_at(&mut self, worker: &WorkerId, at: Instant) {
+    pub fn schedule_exchange(&mut self, worker: &WorkerId, at: Instant) {
         if let Some(member) = self.members.get_mut(worker) {
             member.next_exchange_at = member.next_exchange_at.min(at);
         }
     }
 
     /// Tells whether the start of a task is queued and was not sent yet.
-    pub fn start_waits(&self, worker: &WorkerId, wanted: &TaskId) -> bool {
+    pub fn has_queued_start(&self, worker: &WorkerId, wanted: &TaskId) -> bool {
         let commands = self.members.get(worker).into_iter().flat_map(|member| &member.commands);
         commands
             .into_iter()
--- a/src/graph.rs
+++ b/src/graph.rs
@@ -32,7 +32,7 @@
 mod worker_event;
 
 pub use advice::{AdviceCall, AdviceId, AdviceKey, AdviceRequest, AdviceTable, StepAdvice};
-pub use answer_time::AnswerTime;
+pub use answer_time::AnswerTimeout;
 pub use commit::{CommitGroup, CommitQueue, GroupEffect, GroupNumber};
 pub use controller::{GraphBounds, GraphController, RestoredState};
 pub use crash::SuspectRun;
--- a/src/graph/answer_time.rs
+++ b/src/graph/answer_time.rs
@@ -19,7 +19,7 @@
 
 /// Measured answer times over all workers.
 #[derive(Clone, Debug, Default)]
-pub struct AnswerTime {
+pub struct AnswerTimeout {
     smoothed: Duration,
     deviation: Duration,
     doublings: u32,
@@ -27,7 +27,7 @@
     doubled_at: Option<Instant>,
 }
 
-impl AnswerTime {
+impl AnswerTimeout {
     /// Current timeout.
     pub fn wait(&self) -> Duration {
         let measured = self.smoothed + self.deviation * 4;
--- a/src/graph/commit.rs
+++ b/src/graph/commit.rs
@@ -99,7 +99,7 @@
 
     /// Records that a notice to this shard has been handled.
     pub(crate) fn settle_notice(&mut self, job: GraphId, kind: NoticeKind, now: Instant) {
-        self.notices.settle(job, kind);
+        self.notices.mark_processed(job, kind);
         self.schedule(now, false);
     }
 
@@ -168,7 +168,7 @@
             self.notices.send(notice.job.clone(), notice.shard.clone(), notice.kind);
         }
         for (job, kind) in &group.settled {
-            self.notices.settle(job.clone(), *kind);
+            self.notices.mark_processed(job.clone(), *kind);
         }
         self.workers |= group.workers.is_some();
         self.gathering_since.get_or_insert(now);
@@ -222,7 +222,7 @@
         let changed = self.changed.take(keys_left);
         keys_left -= changed.len();
         let notices = self.notices.take_sent(&mut keys_left);
-        let settled = self.notices.take_settled(&mut keys_left);
+        let settled = self.notices.take_processed(&mut keys_left);
         let removed = take_within(&mut self.removed, &mut keys_left, job_keys.max(2));
         let workers = std::mem::take(&mut self.workers);
         let complete = self.changed.is_empty();
--- a/src/graph/controller.rs
+++ b/src/graph/controller.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GraphBounds {
     /// Longest lease that a worker accepts.
-    pub longest_lease: Duration,
+    pub max_lease: Duration,
     /// How long the state of an ended job is kept for queries.
     pub retention: Duration,
     /// How long a leader extends worker leases after the last renewal of its own lease.
@@ -143,7 +143,7 @@
             let age = Duration::from_millis(unix.saturating_sub(record.spec.accepted));
             jobs.insert(GraphJob::restored(record, progress, now, age));
         }
-        let mut instances = InstanceTable::new(bounds.longest_lease);
+        let mut instances = InstanceTable::new(bounds.max_lease);
         for used in &state.workers {
             instances.restore_used(now, used, unregistered(used));
         }
--- a/src/graph/controller/commands.rs
+++ b/src/graph/controller/commands.rs
@@ -151,7 +151,7 @@
             instance.note_answer(now, *clock);
         }
         let sent = instance.runs.get(task).map(|worker_run| worker_run.since);
-        let min_clock = sent.and_then(|sent| instance.clock_reached_by(sent));
+        let min_clock = sent.and_then(|sent| instance.clock_lower_bound_at(sent));
         let taken_by_newer_instance =
             matches!((&result, min_clock), (Ok(clock), Some(min_clock)) if *clock < min_clock);
         if taken_by_newer_instance {
--- a/src/graph/controller/shares.rs
+++ b/src/graph/controller/shares.rs
@@ -145,7 +145,7 @@
 
     /// Accepts a share of a job that another leader has accepted. The share runs once this leader
     /// has stored it: the store refuses the write of a leader that has a successor.
-    pub fn take_share(&mut self, now: Instant, record: GraphRecord) {
+    pub fn accept_share(&mut self, now: Instant, record: GraphRecord) {
         let id = record.spec.id.clone();
         match self.jobs.get(&id) {
             Some(job) if job.durable => self.commits.settle_notice(id, NoticeKind::Start, now),
--- a/src/graph/controller/worker_events.rs
+++ b/src/graph/controller/worker_events.rs
@@ -36,7 +36,7 @@
             match event {
                 WorkerEvent::Ended(worker, end) => self.run_ended(now, unix, &worker, end),
                 WorkerEvent::Unknown(worker, report) => self.handle_found_run(now, &worker, report),
-                WorkerEvent::InDoubt(worker, task, run) => {
+                WorkerEvent::MayStillBegin(worker, task, run) => {
                     self.send_stop(&worker, &task, run);
                 }
                 WorkerEvent::Lost(worker, lost) => {
@@ -74,7 +74,7 @@
                 // Processed later in `review_crashes`, which has the wall time that a verdict
                 // needs; not every event comes with one.
                 WorkerEvent::Crashed(crash) => self.crashes.push(crash),
-                WorkerEvent::Doubted(task, suspect_run) => {
+                WorkerEvent::CrashSuspected(task, suspect_run) => {
                     info!(task:% = task, run = suspect_run.run, worker = &*suspect_run.worker; "worker has not answered since a start");
                     let run = suspect_run.run;
                     self.jobs.note_suspect_run(&task, suspect_run);
@@ -86,7 +86,7 @@
                     let effect = self.jobs.start_survived(&task);
                     self.apply_effect(now, &task.job, effect);
                 }
-                WorkerEvent::Over(worker, end) => {
+                WorkerEvent::InstanceEnded(worker, end) => {
                     info!(worker = &*worker, end:? = end; "worker is gone");
                     metrics::counter!("kelplink_worker_ends_total", "end" => format!("{end:?}"))
                         .increment(1);
--- a/src/graph/crash_table.rs
+++ b/src/graph/crash_table.rs
@@ -166,7 +166,7 @@
     }
 
     /// Whether the machine at an address has crashed recently.
-    pub(crate) fn crashed_lately(&self, now: Instant, address: &SocketAddr) -> bool {
+    pub(crate) fn crashed_recently(&self, now: Instant, address: &SocketAddr) -> bool {
         self.machine_crashes.get(address).is_some_and(|crash| crash.is_recent(now))
     }
 
--- a/src/graph/instances.rs
+++ b/src/graph/instances.rs
@@ -58,13 +58,13 @@
     crashes: CrashTable,
     pacer: PollPacer,
     /// Longest lease that a worker accepts.
-    longest_lease: Duration,
+    max_lease: Duration,
 }
 
 impl InstanceTable {
     /// Creates an empty table.
-    pub fn new(longest_lease: Duration) -> Self {
-        Self { longest_lease, ..Self::default() }
+    pub fn new(max_lease: Duration) -> Self {
+        Self { max_lease, ..Self::default() }
     }
 
     /// Returns a worker.
@@ -98,8 +98,8 @@
     }
 
     /// Whether the machine of a worker has crashed recently.
-    pub(crate) fn crashed_lately(&self, now: Instant, instance: &WorkerInstance) -> bool {
-        self.crashes.crashed_lately(now, &instance.address())
+    pub(crate) fn crashed_recently(&self, now: Instant, instance: &WorkerInstance) -> bool {
+        self.crashes.crashed_recently(now, &instance.address())
     }
 
     /// Applies a registration. Of two instances at an address only the worker itself can say which has ended,
@@ -185,7 +185,7 @@
         let Some(instance) = self.instances.remove(id) else {
             return Vec::new();
         };
-        let mut events = vec![WorkerEvent::Over(id.clone(), end)];
+        let mut events = vec![WorkerEvent::InstanceEnded(id.clone(), end)];
         let lost = instance
             .runs
             .into_iter()
@@ -332,9 +332,9 @@
         let claimed = std::mem::replace(&mut instance.claimed, true);
         // Its lease may have been extended on the clock of a previous instance.
         if !known_instance {
-            instance.inherit_lease(self.longest_lease);
+            instance.inherit_lease(self.max_lease);
         } else if !claimed {
-            instance.inherit_lease(self.longest_lease.min(WORKER_LEASE));
+            instance.inherit_lease(self.max_lease.min(WORKER_LEASE));
         }
         let (instance_id, address) = (instance.instance_id(), instance.address());
         let mut crashed = self.crashes.handle_answer(now, &instance_id);
@@ -407,7 +407,7 @@
                 if let Some(run) = instance.runs.get_mut(&task) {
                     (run.suspicion_stored, run.suspected) = (true, true);
                 }
-                events.push(WorkerEvent::Doubted(task, suspect_run));
+                events.push(WorkerEvent::CrashSuspected(task, suspect_run));
             }
         }
         events
@@ -415,7 +415,7 @@
 
     /// Removes the runs of workers whose lease has certainly expired, and reports them as given up.
     pub(crate) fn expired_runs(&mut self, now: Instant) -> Vec<WorkerEvent> {
-        let (mut events, longest) = (Vec::new(), self.longest_lease);
+        let (mut events, longest) = (Vec::new(), self.max_lease);
         for instance in self.instances.values_mut() {
             if instance.runs.is_empty() || !instance.is_lease_expired(now) {
                 continue;
--- a/src/graph/instances/restart.rs
+++ b/src/graph/instances/restart.rs
@@ -37,13 +37,13 @@
         for (task, run) in listed {
             instance.add_run(task, run.carried_over(now, reply));
         }
-        let mut events = vec![WorkerEvent::Over(id.clone(), InstanceEnd::Restarted)];
+        let mut events = vec![WorkerEvent::InstanceEnded(id.clone(), InstanceEnd::Restarted)];
         for (task, run) in other {
             if run.is_of_one_instance() {
                 events.push(WorkerEvent::Lost(id.clone(), LostRun::new(task, run, answered)));
                 continue;
             }
-            events.push(WorkerEvent::InDoubt(id.clone(), task.clone(), run.run));
+            events.push(WorkerEvent::MayStillBegin(id.clone(), task.clone(), run.run));
             instance.add_run(task, run.in_doubt(now));
         }
         events.extend(crash.map(WorkerEvent::Crashed));
--- a/src/graph/notice.rs
+++ b/src/graph/notice.rs
@@ -48,7 +48,7 @@
     }
 
     /// Queues the removal of a notice to this shard, to be stored together with what follows from the notice.
-    pub(crate) fn settle(&mut self, job: GraphId, kind: NoticeKind) {
+    pub(crate) fn mark_processed(&mut self, job: GraphId, kind: NoticeKind) {
         self.settled.insert((job, kind));
     }
 
@@ -62,7 +62,7 @@
     }
 
     /// Takes at most `limit` notices to remove, and lowers `limit` by their number.
-    pub(crate) fn take_settled(&mut self, limit: &mut usize) -> Vec<(GraphId, NoticeKind)> {
+    pub(crate) fn take_processed(&mut self, limit: &mut usize) -> Vec<(GraphId, NoticeKind)> {
         pop_up_to(&mut self.settled, limit)
     }
 }
--- a/src/graph/placer.rs
+++ b/src/graph/placer.rs
@@ -140,7 +140,7 @@
         let capacity = |instance: &'t WorkerInstance| {
             let free =
                 instance.free().saturating_sub(&view.reservations.reserved_on(instance.id()));
-            let crashed = view.instances.crashed_lately(view.now, instance);
+            let crashed = view.instances.crashed_recently(view.now, instance);
             (instance.id().clone(), WorkerCapacity::new(instance, free, crashed, view.now))
         };
         let mut capacities: BTreeMap<WorkerId, WorkerCapacity<'t>> =
--- a/src/graph/spec.rs
+++ b/src/graph/spec.rs
@@ -140,7 +140,7 @@
     }
 
     /// Validates the graph; returns error messages for the caller.
-    pub fn mistakes(&self) -> Vec<String> {
+    pub fn validation_errors(&self) -> Vec<String> {
         let mut errors = Vec::new();
         if self.steps.is_empty() || self.steps.len() > MAX_STEPS {
             errors.push(format!("{} steps: expected 1 to {MAX_STEPS}", self.steps.len()));
--- a/src/graph/worker.rs
+++ b/src/graph/worker.rs
@@ -432,7 +432,7 @@
     }
 
     /// Lower bound of its clock at a moment, which may lie before the last reading of the clock.
-    pub(crate) fn clock_reached_by(&self, moment: Instant) -> Option<Duration> {
+    pub(crate) fn clock_lower_bound_at(&self, moment: Instant) -> Option<Duration> {
         let (clock, at) = self.clock?;
         let since = at.saturating_duration_since(moment);
         if since.is_zero() {
--- a/src/graph/worker_event.rs
+++ b/src/graph/worker_event.rs
@@ -18,7 +18,7 @@
     /// A worker lists a run that this leader has not started.
     Unknown(WorkerId, RunReport),
     /// A run may still be begun by another instance of its worker, though that does not list it.
-    InDoubt(WorkerId, TaskName, RunNumber),
+    MayStillBegin(WorkerId, TaskName, RunNumber),
     /// A run is no longer on its worker, or never arrived there.
     Lost(WorkerId, LostRun),
     /// A run was given up with its worker's lease, and may have gone on or ended until then. A run on
@@ -31,11 +31,11 @@
     /// The worker has answered this leader for the first time.
     Claimed(WorkerId),
     /// The instance of the worker has ended.
-    Over(WorkerId, InstanceEnd),
+    InstanceEnded(WorkerId, InstanceEnd),
     /// A worker has crashed.
     Crashed(WorkerCrash),
     /// A worker is silent, and a run on probation that had begun there may have crashed it.
-    Doubted(TaskName, SuspectRun),
+    CrashSuspected(TaskName, SuspectRun),
     /// The worker has survived the start of a run.
     Survived(TaskName, RunNumber),
 }
--- a/src/http.rs
+++ b/src/http.rs
@@ -158,7 +158,9 @@
 /// depends on which of the two a reader uses.
 fn ambiguous_length() -> ProblemDetails {
     let detail = "a transfer coding may not stand beside a length";
-    ProblemDetails::new(StatusCode::BAD_REQUEST, "malformed", detail).ran(RunState::No).closing()
+    ProblemDetails::new(StatusCode::BAD_REQUEST, "malformed", detail)
+        .ran(RunState::No)
+        .close_after_response()
 }
 
 /// Binds a non-blocking listener. With port 0 the operating system chooses the port.
--- a/src/job.rs
+++ b/src/job.rs
@@ -138,7 +138,7 @@
     }
 
     /// Tasks that have not ended.
-    pub fn open_tasks(&self) -> impl Iterator<Item = TaskIndex> + '_ {
+    pub fn unfinished_tasks(&self) -> impl Iterator<Item = TaskIndex> + '_ {
         (0..self.spec.count).filter(|index| !self.ended.contains_key(index))
     }
 }
--- a/src/leadership/role.rs
+++ b/src/leadership/role.rs
@@ -183,7 +183,7 @@
     }
 
     /// Forbids leading without a lease from the store.
-    pub fn store_only(mut self) -> Self {
+    pub fn without_detached_lead(mut self) -> Self {
         self.may_detach = false;
         self
     }
--- a/src/ledger/journal.rs
+++ b/src/ledger/journal.rs
@@ -287,7 +287,7 @@
 
     /// Adds the records of the copy that this entry kept as a follower, for a start without the
     /// store.
-    pub fn preload(&mut self, records: impl IntoIterator<Item = LedgerRecord>) {
+    pub fn load_copy(&mut self, records: impl IntoIterator<Item = LedgerRecord>) {
         for record in records {
             self.put(record);
         }
--- a/src/node/action_executor.rs
+++ b/src/node/action_executor.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::graph::{
-    AdviceCall, AnswerTime, CallFailure, CommandResult, CommitGroup, GraphAction, InstanceId,
+    AdviceCall, AnswerTimeout, CallFailure, CommandResult, CommitGroup, GraphAction, InstanceId,
     LeaderEpoch, StartCommand,
 };
 use crate::id::EntryId;
@@ -34,11 +34,11 @@
 /// Measured response times of all workers, shared by all calls.
 #[derive(Clone, Debug, Default)]
 struct AnswerTimes {
-    times: Arc<Mutex<AnswerTime>>,
+    times: Arc<Mutex<AnswerTimeout>>,
 }
 
 impl AnswerTimes {
-    fn lock(&self) -> MutexGuard<'_, AnswerTime> {
+    fn lock(&self) -> MutexGuard<'_, AnswerTimeout> {
         self.times.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/src/node/callers.rs
+++ b/src/node/callers.rs
@@ -252,7 +252,7 @@
     let too_large = || {
         let detail = format!("at most {limit} bytes");
         ProblemDetails::new(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large", detail)
-            .closing()
+            .close_after_response()
     };
     let content_length =
         request.headers.get(CONTENT_LENGTH).and_then(|length| length.to_str().ok());
@@ -267,7 +267,7 @@
         Err(_) => {
             let detail = format!("not whole after {BODY_TIMEOUT:?}");
             let status = StatusCode::REQUEST_TIMEOUT;
-            Err(ProblemDetails::new(status, "the body is late", detail).closing())
+            Err(ProblemDetails::new(status, "the body is late", detail).close_after_response())
         }
     }
 }
@@ -275,7 +275,7 @@
 /// The request violates HTTP, so it is not certain where the next one on the connection begins.
 fn malformed(detail: &str) -> ProblemDetails {
     let status = StatusCode::BAD_REQUEST;
-    ProblemDetails::new(status, "malformed", detail).ran(RunState::No).closing()
+    ProblemDetails::new(status, "malformed", detail).ran(RunState::No).close_after_response()
 }
 
 /// The request has not been carried out and will not be.
--- a/src/node/candidacy.rs
+++ b/src/node/candidacy.rs
@@ -117,7 +117,7 @@
     pub(crate) fn running_predecessor(&self, view: &MemberView) -> Option<(EntryId, u64)> {
         let bounds = self.shared.settings.bounds;
         let outlasted_predecessor =
-            self.leads_for(bounds.lease_extension_window + bounds.longest_lease);
+            self.leads_for(bounds.lease_extension_window + bounds.max_lease);
         self.predecessor
             .clone()
             .filter(|_| !outlasted_predecessor && !view.has_ended(&self.predecessor))
@@ -156,7 +156,7 @@
     }
 
     /// Returns the state of this candidacy according to the store. `registered` is whether this entry holds a lease.
-    pub(crate) fn standing(&self, view: &MemberView, registered: bool) -> CandidacyState {
+    pub(crate) fn store_state(&self, view: &MemberView, registered: bool) -> CandidacyState {
         let shard_view = view.shard(&self.shard);
         let own_record =
             shard_view.leader.as_ref().filter(|leader| leader.start == self.shared.start);
@@ -191,14 +191,14 @@
     }
 
     /// Resets the waiting time: this process may not campaign now.
-    pub(crate) fn rest(&mut self) {
+    pub(crate) fn reset_turn(&mut self) {
         self.waiting = None;
     }
 
     /// Returns when this process campaigns if no other entry does so earlier. The time starts over when the awaited
     /// entries change: counted from the first wait, all others' turns had already come when a cut-off domain was
     /// reachable again, and that domain lost its leader.
-    pub(crate) fn turn(&mut self, view: &MemberView) -> Instant {
+    pub(crate) fn campaign_time(&mut self, view: &MemberView) -> Instant {
         let awaited = self.awaited(view);
         let before = self.waiting.filter(|(_, before)| *before == awaited);
         let (since, _) = *self.waiting.insert(before.unwrap_or((Instant::now(), awaited)));
@@ -220,11 +220,11 @@
             return Duration::ZERO;
         }
         let rank = view.rank(&self.shard, &self.shared.settings.name);
-        let turn = RANK_PAUSE * (rank.before.min(RANKED_ENTRIES) + 1);
+        let campaign_time = RANK_PAUSE * (rank.before.min(RANKED_ENTRIES) + 1);
         match awaited {
-            AwaitedEntry::OfDomain if rank.in_other_domain => CUT_OFF_PAUSE + turn,
-            AwaitedEntry::Strong => STRONG_MACHINE_PAUSE + turn,
-            AwaitedEntry::OfDomain | AwaitedEntry::Ranked => turn,
+            AwaitedEntry::OfDomain if rank.in_other_domain => CUT_OFF_PAUSE + campaign_time,
+            AwaitedEntry::Strong => STRONG_MACHINE_PAUSE + campaign_time,
+            AwaitedEntry::OfDomain | AwaitedEntry::Ranked => campaign_time,
         }
     }
 
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -47,7 +47,7 @@
 
     async fn read(&self) -> Result<u64, StoreError> {
         let page = self.shared.store.page(CONFIG_KEY, "").await?;
-        self.shared.note_store(DUTY);
+        self.shared.note_store_answer(DUTY);
         for item in page.items {
             self.apply(&item);
         }
@@ -59,7 +59,7 @@
         loop {
             match self.shared.store.watch(CONFIG_PREFIX, after, WATCH_WAIT).await {
                 Ok(WatchOutcome::Events { events, revision }) => {
-                    self.shared.note_store(DUTY);
+                    self.shared.note_store_answer(DUTY);
                     for event in events {
                         match event {
                             KeyEvent::Written(item) => self.apply(&item),
--- a/src/node/dependency.rs
+++ b/src/node/dependency.rs
@@ -33,9 +33,9 @@
     pub(crate) async fn run(self) {
         loop {
             sleep(CHECK_INTERVAL).await;
-            self.store.look();
-            self.leader.look();
-            self.advisor.look();
+            self.store.expire_failures();
+            self.leader.expire_failures();
+            self.advisor.expire_failures();
         }
     }
 }
@@ -72,8 +72,8 @@
         self.apply(|monitor| monitor.answered(duty));
     }
 
-    fn look(&self) {
-        self.apply(DependencyMonitor::look);
+    fn expire_failures(&self) {
+        self.apply(DependencyMonitor::expire_failures);
     }
 
     fn note_failure(&self, duty: &str, mode: RetryMode, failure: &dyn Display) {
--- a/src/node/dependency/monitor.rs
+++ b/src/node/dependency/monitor.rs
@@ -141,11 +141,11 @@
         {
             loss.latest = now;
         }
-        self.look()
+        self.expire_failures()
     }
 
     /// Ends the loss once no failure counts any more.
-    pub(crate) fn look(&mut self) -> Option<DependencyEvent> {
+    pub(crate) fn expire_failures(&mut self) -> Option<DependencyEvent> {
         let now = Instant::now();
         let loss = self.loss.as_mut()?;
         loss.failing.retain(|_, until| *until > now);
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -95,8 +95,10 @@
             let mut wake = next_renewal;
             for shard in view.all_shards().unwrap_or_default() {
                 self.reconcile(&shard, &view).await;
-                wake =
-                    self.campaign_in_turn(&shard, &view).await.map_or(wake, |turn| turn.min(wake));
+                wake = self
+                    .campaign_in_turn(&shard, &view)
+                    .await
+                    .map_or(wake, |campaign_time| campaign_time.min(wake));
             }
             tokio::select! {
                 () = sleep_until(wake) => self.note_lateness(wake.elapsed()).await,
@@ -117,15 +119,15 @@
     /// this entry may not campaign.
     async fn campaign_in_turn(&mut self, shard: &ShardId, view: &MemberView) -> Option<Instant> {
         if !self.may_campaign(shard, view) {
-            self.candidacy(shard).rest();
+            self.candidacy(shard).reset_turn();
             return None;
         }
-        let turn = self.candidacy(shard).turn(view);
-        if turn <= Instant::now() {
+        let campaign_time = self.candidacy(shard).campaign_time(view);
+        if campaign_time <= Instant::now() {
             self.campaign(shard, view).await;
-            self.candidacy(shard).rest();
+            self.candidacy(shard).reset_turn();
         }
-        Some(turn.max(Instant::now()))
+        Some(campaign_time.max(Instant::now()))
     }
 
     /// Hands leadership over when late timers show that this machine has become too slow to lead.
@@ -140,7 +142,7 @@
             return;
         }
         warn!(late_ms = late.as_millis() as u64, weaker; "this machine is too slow to lead");
-        self.lateness.forget();
+        self.lateness.reset();
         // The term ends only once the store records it: otherwise the leader key would stay, and the shard would have
         // no leader for as long as this entry is registered.
         if self.hand_over().await {
@@ -169,7 +171,7 @@
         };
         match result {
             Ok(true) => {
-                self.shared.note_store(DUTY);
+                self.shared.note_store_answer(DUTY);
                 self.renewed = Some(sent);
                 self.offer_lease();
                 self.candidacies.values().for_each(|candidacy| candidacy.note_renewal(sent));
@@ -230,7 +232,7 @@
     async fn reconcile(&mut self, shard: &ShardId, view: &MemberView) {
         let registered = self.lease.is_some();
         let renewed = self.renewed;
-        match self.candidacy(shard).standing(view, registered) {
+        match self.candidacy(shard).store_state(view, registered) {
             CandidacyState::Unchanged => {}
             CandidacyState::Superseded => self.candidacy(shard).end().await,
             CandidacyState::Won(term) if term.epoch_revision < self.registered => {}
@@ -287,7 +289,7 @@
         self.shared.dependencies.store.tried(DUTY, &result);
         match result {
             Ok(TransactionOutcome::Done(revision)) => {
-                self.shared.note_store(DUTY);
+                self.shared.note_store_answer(DUTY);
                 self.shared.members.send_modify(|view| {
                     let shard_view = view.shards.entry(shard.clone()).or_default();
                     // The members watch may have delivered the election, and the removal of its leader key, before this
--- a/src/node/election/lease_tests.rs
+++ b/src/node/election/lease_tests.rs
@@ -12,7 +12,7 @@
 use crate::node::election::ElectionLoop;
 use crate::node::input::LeaderInput;
 use crate::node::message::{LeaderAnswer, LeaderCall};
-use crate::node::own_leader::ask_here;
+use crate::node::own_leader::ask_own_leader;
 use crate::node::records::{LeaderRecord, LeaderTerm};
 use crate::node::settings::NodeSettings;
 use crate::node::shared::NodeShared;
@@ -55,7 +55,7 @@
         }
     };
     assert!(timeout(START_TIMEOUT, leads).await.is_ok(), "the entry does not lead");
-    ask_here(shared, &undivided(), LeaderCall::State(GraphId::from(UNKNOWN))).await
+    ask_own_leader(shared, &undivided(), LeaderCall::State(GraphId::from(UNKNOWN))).await
 }
 
 // The entry offered its lease to a leader that stepped down. The lease, and with it the leader key, ended before the
@@ -128,7 +128,7 @@
     let view = shared.members.borrow().clone();
     assert!(election.may_campaign(&undivided(), &view));
     let before = store.changes.load(Ordering::Relaxed);
-    store.keeps_answers.store(true, Ordering::Relaxed);
+    store.delays_answers.store(true, Ordering::Relaxed);
     let watch_events = async {
         while store.changes.load(Ordering::Relaxed) == before {
             sleep(Duration::from_millis(1)).await;
@@ -139,7 +139,7 @@
             let shard_view = view.shards.entry(undivided()).or_default();
             (shard_view.leader, shard_view.epoch, shard_view.epoch_revision) = (None, 1, 9);
         });
-        store.keeps_answers.store(false, Ordering::Relaxed);
+        store.delays_answers.store(false, Ordering::Relaxed);
     };
     let shard = undivided();
     tokio::join!(election.campaign(&shard, &view), watch_events);
--- a/src/node/input.rs
+++ b/src/node/input.rs
@@ -16,7 +16,7 @@
     Call(LeaderCall, oneshot::Sender<LeaderAnswer>),
     Registered(Box<WorkerRegistration>),
     /// A worker of another shard is registered.
-    ListedElsewhere(ShardId, Box<WorkerRegistration>),
+    RegisteredElsewhere(ShardId, Box<WorkerRegistration>),
     Unregistered(WorkerId),
     /// All registrations have been read once.
     RegistrationsRead,
--- a/src/node/lateness.rs
+++ b/src/node/lateness.rs
@@ -54,7 +54,7 @@
     }
 
     /// Resets the measured lateness.
-    pub(crate) fn forget(&mut self) {
+    pub(crate) fn reset(&mut self) {
         self.lateness = Duration::ZERO;
     }
 }
--- a/src/node/leader.rs
+++ b/src/node/leader.rs
@@ -27,7 +27,7 @@
 use crate::node::registry::RegistryLoop;
 use crate::node::shared::NodeShared;
 use crate::node::state_queries::{StateQueries, StateUpdate};
-use crate::platform::PAGE_TIME;
+use crate::platform::PAGE_TIMEOUT;
 use crate::ring::{RingReceiver, RingSender};
 
 /// Pause before the ledger is read again after a failure.
@@ -85,7 +85,7 @@
     /// Loads the ledger, then leads until the term ends.
     pub(crate) async fn run(mut self) {
         info!(shard = &*self.shard, epoch = self.epoch; "elected");
-        let mut page_timeout = PAGE_TIME;
+        let mut page_timeout = PAGE_TIMEOUT;
         let state = loop {
             match self.ledger.load(page_timeout).await {
                 Ok(state) => break state,
@@ -216,10 +216,10 @@
             LeaderInput::Registered(registration) => {
                 controller.worker_registered(now, *registration)
             }
-            LeaderInput::ListedElsewhere(shard, registration) => {
+            LeaderInput::RegisteredElsewhere(shard, registration) => {
                 controller.worker_registered_elsewhere(shard, *registration);
             }
-            LeaderInput::Share(record) => controller.take_share(now, *record),
+            LeaderInput::Share(record) => controller.accept_share(now, *record),
             LeaderInput::ShareEnded(job) => controller.cancel_share(now, unix, &job),
             LeaderInput::ShareFailed(job) => controller.fail_shared(now, unix, &job),
             LeaderInput::Unregistered(worker) => controller.worker_unregistered(now, &worker),
@@ -235,7 +235,7 @@
             }
             LeaderInput::Advised(id, allowed) => controller.handle_advice(now, id, allowed),
             LeaderInput::Stored(number, GroupOutcome::Stored { taken }) => {
-                self.shared.note_store(LEDGER_DUTY);
+                self.shared.note_store_answer(LEDGER_DUTY);
                 controller.handle_group_partly_stored(now, number, &taken);
             }
             LeaderInput::Stored(number, GroupOutcome::Refused) => {
--- a/src/node/leader_client.rs
+++ b/src/node/leader_client.rs
@@ -10,7 +10,7 @@
 use crate::graph::{GraphId, GraphJob, GraphState, QueueId, ShardId, ShardPlan};
 use crate::node::ledger::JobLedger;
 use crate::node::message::{JobSubmission, LeaderAnswer, LeaderCall};
-use crate::node::own_leader::ask_here;
+use crate::node::own_leader::ask_own_leader;
 use crate::node::peers::{PeerClient, PeerFailure};
 use crate::node::records::LeaderRecord;
 use crate::node::shared::NodeShared;
@@ -99,7 +99,9 @@
                 // An earlier try may still be accepted, so the job is not reported as rejected.
                 Ok(LeaderAnswer::Rejected(_)) if failure == LeaderCallError::Unknown => break,
                 // The store answers this entry, so it may be unavailable only to that leader's machine.
-                Ok(LeaderAnswer::Rejected(retry)) if !last && !self.shared.store_is_late() => {
+                Ok(LeaderAnswer::Rejected(retry))
+                    if !last && !self.shared.store_answer_overdue() =>
+                {
                     rejection = Some(retry);
                 }
                 Ok(answer) => return Ok(answer),
@@ -131,7 +133,7 @@
         match () {
             // This entry is cut off: the call fails at once, so that the caller can go to another entry.
             () if !self.shared.reaches_others() => Duration::ZERO,
-            () if self.shared.store_is_heard() => ELECTION_WAIT,
+            () if self.shared.store_answers_recently() => ELECTION_WAIT,
             () => STORE_DOWN_WAIT,
         }
     }
@@ -278,7 +280,7 @@
         time: Duration,
     ) -> Result<LeaderAnswer, PeerFailure> {
         if self.shared.leading(shard).is_some() {
-            let answer = timeout(time, ask_here(&self.shared, shard, call.clone())).await;
+            let answer = timeout(time, ask_own_leader(&self.shared, shard, call.clone())).await;
             return match answer {
                 Ok(Some(answer)) => Ok(answer),
                 Ok(None) | Err(_) => Err(PeerFailure::NoAnswer),
@@ -289,10 +291,10 @@
             Some(leader) => {
                 let answer = self.peers.ask(leader.address, shard, call, time).await;
                 let answer = answer.map(|answer| self.record_leader(shard, answer));
-                note_leader(&self.shared, CALL_DUTY, &leader, time, &answer);
+                note_leader_call(&self.shared, CALL_DUTY, &leader, time, &answer);
                 let leads = answer.as_ref().is_ok_and(|answer| *answer != LeaderAnswer::NotLeading);
                 if leads && self.is_in_other_domain(&leader) {
-                    self.shared.note_peer();
+                    self.shared.note_peer_answer();
                 }
                 answer
             }
@@ -361,7 +363,7 @@
 }
 
 /// Records the result of a loop's call to the leader.
-pub(crate) fn note_leader(
+pub(crate) fn note_leader_call(
     shared: &NodeShared,
     duty: &str,
     leader: &LeaderRecord,
--- a/src/node/leader_client_tests.rs
+++ b/src/node/leader_client_tests.rs
@@ -100,7 +100,7 @@
     expect_that!(pending, none());
     expect_that!(started.elapsed(), eq(Duration::ZERO));
     let shared = entry(settings());
-    shared.note_store("election");
+    shared.note_store_answer("election");
     expect_that!(LeaderClient::new(shared).pending(&"q".into(), CALLER_TIMEOUT).await, none());
 }
 
@@ -132,7 +132,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_job_waits_for_the_shard_plan_to_be_read() {
     let shared = entry(settings());
-    shared.note_store("configuration");
+    shared.note_store_answer("configuration");
     let (sender, calls) = ring("leader", 4);
     shared.set_leading(&shared.settings.domain, Some(sender));
     tokio::spawn(async move {
--- a/src/node/members.rs
+++ b/src/node/members.rs
@@ -55,7 +55,7 @@
         let mut revision = None;
         loop {
             let page = self.shared.store.page(MEMBER_PREFIX, &after).await?;
-            self.shared.note_store(DUTY);
+            self.shared.note_store_answer(DUTY);
             // The watch starts at the first page's revision, so it repeats changes made while later pages are read.
             let first = *revision.get_or_insert(page.revision);
             for item in &page.items {
@@ -75,7 +75,7 @@
         loop {
             match self.shared.store.watch(MEMBER_PREFIX, after, WATCH_WAIT).await? {
                 WatchOutcome::Events { events, revision } => {
-                    self.shared.note_store(DUTY);
+                    self.shared.note_store_answer(DUTY);
                     after = after.max(revision);
                     if events.is_empty() {
                         continue;
@@ -84,7 +84,7 @@
                     for event in events {
                         match event {
                             KeyEvent::Written(item) => written(&mut view, &item),
-                            KeyEvent::Removed(key) => removed(&mut view, &key),
+                            KeyEvent::Removed(key) => apply_removal(&mut view, &key),
                         }
                     }
                     self.publish(view);
@@ -143,7 +143,7 @@
     EpochRecord { epoch: item.revision, holder: Some(unknown_leader()), best: 0.0 }
 }
 
-pub(super) fn removed(view: &mut MemberView, key: &str) {
+pub(super) fn apply_removal(view: &mut MemberView, key: &str) {
     if let Some(name) = key.strip_prefix(ENTRY_PREFIX) {
         view.entries.remove(name);
     }
--- a/src/node/members_tests.rs
+++ b/src/node/members_tests.rs
@@ -11,7 +11,7 @@
 use crate::graph::{LeaderEpoch, ShardId};
 use crate::id::EntryId;
 use crate::node::keys::{KeyItem, epoch_key, leader_key};
-use crate::node::members::{MembershipLoop, removed, written};
+use crate::node::members::{MembershipLoop, apply_removal, written};
 use crate::node::records::{EpochRecord, LeaderRecord};
 use crate::node::settings::NodeSettings;
 use crate::node::shared::NodeShared;
@@ -110,7 +110,7 @@
     let mut view = view_with_third_leader();
     written(&mut view, &item(leader_key(&undivided), &leader_of(2), 8));
     expect_that!(view.leader(&undivided), some(eq(&leader_of(3))));
-    removed(&mut view, &leader_key(&undivided));
+    apply_removal(&mut view, &leader_key(&undivided));
     expect_that!(view.leader(&undivided), some(eq(&leader_of(3))));
 }
 
@@ -121,7 +121,7 @@
     let elected = EpochRecord { epoch: 3, ..EpochRecord::default() };
     written(&mut view, &item(epoch_key(&undivided), &elected, 9));
     written(&mut view, &item(leader_key(&undivided), &leader_of(3), 9));
-    removed(&mut view, &leader_key(&undivided));
+    apply_removal(&mut view, &leader_key(&undivided));
     expect_that!(view.leader(&undivided), none());
 }
 
--- a/src/node/own_leader.rs
+++ b/src/node/own_leader.rs
@@ -8,7 +8,7 @@
 use crate::node::shared::NodeShared;
 
 /// Sends a call to this process's leader of a shard; `None` if leadership ended without an answer.
-pub(crate) async fn ask_here(
+pub(crate) async fn ask_own_leader(
     shared: &NodeShared,
     shard: &ShardId,
     call: LeaderCall,
--- a/src/node/peer_service.rs
+++ b/src/node/peer_service.rs
@@ -16,7 +16,7 @@
     ADVISE_METHOD, ASK_METHOD, AllowedWorkers, CALL_BYTES, GIVE_METHOD, LeaderAnswer, LeaderCall,
     OFFER_METHOD,
 };
-use crate::node::own_leader::ask_here;
+use crate::node::own_leader::ask_own_leader;
 use crate::node::records::LeaderTerm;
 use crate::node::shared::NodeShared;
 
@@ -43,7 +43,7 @@
     let mut module = RpcModule::new(shared);
     module.register_async_method(ASK_METHOD, |params, shared, _| async move {
         let (shard, call): (ShardId, LeaderCall) = params.parse()?;
-        let answer = ask_here(&shared, &shard, call)
+        let answer = ask_own_leader(&shared, &shard, call)
             .await
             .map(|answer| name_leader(&shared, &shard, answer));
         answer.ok_or_else(|| ErrorObjectOwned::owned(ENDED_CODE, "leadership ended", None::<()>))
@@ -56,7 +56,7 @@
     })?;
     module.register_async_method(OFFER_METHOD, |params, shared, _| async move {
         let (shard, epoch): (ShardId, LeaderEpoch) = params.parse()?;
-        Ok::<_, ErrorObjectOwned>(offer_here(&shared, shard, epoch))
+        Ok::<_, ErrorObjectOwned>(offer_succession(&shared, shard, epoch))
     })?;
     module.register_async_method(GIVE_METHOD, |params, shared, _| async move {
         let (shard, term): (ShardId, LeaderTerm) = params.parse()?;
@@ -81,7 +81,7 @@
 
 /// The offer of this entry to lead a shard next; `None` if it leads, drains, is not registered, or does not know its
 /// configuration or the shard plan.
-pub(super) fn offer_here(
+pub(super) fn offer_succession(
     shared: &NodeShared,
     shard: ShardId,
     epoch: LeaderEpoch,
--- a/src/node/probe.rs
+++ b/src/node/probe.rs
@@ -18,7 +18,7 @@
 use crate::node::input::LeaderInput;
 use crate::node::shared::NodeShared;
 use crate::platform::READY_PATH;
-use crate::problem::{full, json_response};
+use crate::problem::{full_body, json_response};
 
 /// Maximum time for a leader loop to return its state.
 const DUMP_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -50,7 +50,7 @@
 fn ready(state: State) -> Pin<Box<HandlerFuture>> {
     Box::pin(async move {
         let handler = ProbeHandler::borrow_from(&state);
-        let mut response = Response::new(full(""));
+        let mut response = Response::new(full_body(""));
         if !handler.shared.ready() {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         }
@@ -61,7 +61,7 @@
 fn metrics(state: State) -> Pin<Box<HandlerFuture>> {
     Box::pin(async move {
         let text = ProbeHandler::borrow_from(&state).metrics.render();
-        Ok((state, Response::new(full(text))))
+        Ok((state, Response::new(full_body(text))))
     })
 }
 
--- a/src/node/reachability.rs
+++ b/src/node/reachability.rs
@@ -8,7 +8,7 @@
 use tokio::time::sleep;
 
 use crate::graph::ShardId;
-use crate::node::leader_client::{note_leader, note_no_leader};
+use crate::node::leader_client::{note_leader_call, note_no_leader};
 use crate::node::message::{LeaderAnswer, LeaderCall};
 use crate::node::peers::PeerClient;
 use crate::node::records::LeaderRecord;
@@ -38,7 +38,7 @@
     pub(crate) async fn run(mut self) {
         loop {
             sleep(CHECK_INTERVAL).await;
-            if !self.shared.store_is_late() {
+            if !self.shared.store_answer_overdue() {
                 self.note_reached(true);
                 continue;
             }
@@ -47,7 +47,7 @@
                 false => self.reaches_another_domain().await,
             };
             if reached {
-                self.shared.note_peer();
+                self.shared.note_peer_answer();
             }
             self.note_reached(reached);
         }
@@ -69,7 +69,7 @@
         let shard = view.shard_led_by(leader);
         let call = LeaderCall::Reach;
         let answer = self.peers.ask(leader.address, &shard, &call, ANSWER_TIMEOUT).await;
-        note_leader(&self.shared, DUTY, leader, ANSWER_TIMEOUT, &answer);
+        note_leader_call(&self.shared, DUTY, leader, ANSWER_TIMEOUT, &answer);
         answer == Ok(LeaderAnswer::Leading)
     }
 
--- a/src/node/registry.rs
+++ b/src/node/registry.rs
@@ -120,7 +120,7 @@
                 let shard = self.scope.plan.shard_of(&registration.domain, &registration.rack);
                 let input = match shard == self.scope.shard {
                     true => LeaderInput::Registered(Box::new(registration)),
-                    false => LeaderInput::ListedElsewhere(shard, Box::new(registration)),
+                    false => LeaderInput::RegisteredElsewhere(shard, Box::new(registration)),
                 };
                 self.leader.send(input).await;
                 Some(id)
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -101,23 +101,23 @@
     }
 
     /// Records an answer of the store to a loop.
-    pub(crate) fn note_store(&self, duty: &str) {
+    pub(crate) fn note_store_answer(&self, duty: &str) {
         self.dependencies.store.answered(duty);
         *lock(&self.store_answered) = Some(Instant::now());
     }
 
     /// Records an answer of the leader or, if this entry leads, of another entry.
-    pub(crate) fn note_peer(&self) {
+    pub(crate) fn note_peer_answer(&self) {
         *lock(&self.peer_answered) = Some(Instant::now());
     }
 
     /// Whether the store has not answered for long enough to call other entries instead.
-    pub(crate) fn store_is_late(&self) -> bool {
+    pub(crate) fn store_answer_overdue(&self) -> bool {
         !answered_within(&self.store_answered, STORE_LATE_LIMIT)
     }
 
     /// Whether the store has answered recently enough for an election to be expected to succeed.
-    pub(crate) fn store_is_heard(&self) -> bool {
+    pub(crate) fn store_answers_recently(&self) -> bool {
         answered_within(&self.store_answered, ELECTION_SILENCE_LIMIT)
     }
 
--- a/src/node/takeover_tests.rs
+++ b/src/node/takeover_tests.rs
@@ -9,7 +9,7 @@
 use crate::graph::{ShardId, ShardPlan};
 use crate::node::candidacy::{Candidacy, CandidacyState};
 use crate::node::election::ElectionLoop;
-use crate::node::peer_service::offer_here;
+use crate::node::peer_service::offer_succession;
 use crate::node::records::{EntryRecord, LeaderRecord, LeaderTerm};
 use crate::node::shared::NodeShared;
 use crate::node::tests::{divided, entry};
@@ -40,9 +40,9 @@
 async fn an_entry_offers_to_lead_once_it_knows_the_shard_plan() {
     let shared = entry_without_plan();
     shared.handover_inbox.set_lease(Some(3));
-    expect_that!(offer_here(&shared, shard(), 1), none());
+    expect_that!(offer_succession(&shared, shard(), 1), none());
     shared.members.send_modify(|view| view.plan = plan());
-    expect_that!(offer_here(&shared, shard(), 1), some(anything()));
+    expect_that!(offer_succession(&shared, shard(), 1), some(anything()));
 }
 
 #[gtest]
@@ -88,7 +88,7 @@
         known: true,
         ..MemberView::default()
     };
-    let CandidacyState::Won(term) = candidacy.standing(&view, true) else {
+    let CandidacyState::Won(term) = candidacy.store_state(&view, true) else {
         return fail!("the entry does not lead");
     };
     expect_false!(view.has_ended(&term.predecessor));
--- a/src/node/tests.rs
+++ b/src/node/tests.rs
@@ -20,7 +20,7 @@
 use crate::node::lateness::LatenessMonitor;
 use crate::node::members::written;
 use crate::node::message::{LeaderAnswer, LeaderCall};
-use crate::node::own_leader::ask_here;
+use crate::node::own_leader::ask_own_leader;
 use crate::node::records::{EntryRecord, EpochRecord, LeaderRecord};
 use crate::node::settings::NodeSettings;
 use crate::node::shared::NodeShared;
@@ -49,7 +49,7 @@
         descriptors: 1_000,
         grace: Duration::from_secs(6),
         bounds: GraphBounds {
-            longest_lease: Duration::from_secs(6),
+            max_lease: Duration::from_secs(6),
             retention: Duration::from_secs(120),
             lease_extension_window: Duration::from_secs(5),
         },
@@ -73,7 +73,7 @@
         view.plan = Some(Arc::new(ShardPlan::undivided()));
         view.shards.entry(only_shard()).or_default().leader = Some(leader);
     });
-    shared.note_store("members");
+    shared.note_store_answer("members");
     shared
 }
 
@@ -83,7 +83,7 @@
     let shared = entry();
     expect_true!(shared.ready());
     advance(Duration::from_millis(1_100)).await;
-    expect_true!(shared.store_is_late());
+    expect_true!(shared.store_answer_overdue());
     expect_false!(shared.ready());
 }
 
@@ -93,13 +93,13 @@
     let shared = entry();
     for _ in 0..3 {
         advance(Duration::from_millis(900)).await;
-        shared.note_peer();
+        shared.note_peer_answer();
         expect_true!(shared.ready());
     }
     // After four seconds without the store the configuration may be outdated.
     for _ in 0..2 {
         advance(Duration::from_millis(900)).await;
-        shared.note_peer();
+        shared.note_peer_answer();
     }
     expect_false!(shared.ready());
 }
@@ -200,12 +200,12 @@
     let mut view = divided(&[(name, "a", 0.12)]);
     let mut candidacy = Candidacy::new(Arc::new(entry()), "a".into());
     view.best = 0.5;
-    expect_that!(candidacy.turn(&view), gt(Instant::now() + Duration::from_secs(1)));
+    expect_that!(candidacy.campaign_time(&view), gt(Instant::now() + Duration::from_secs(1)));
     advance(Duration::from_secs(1)).await;
     // Once the strong machine is registered, the weak one waits only for its rank.
     view.entries.extend(divided(&[("e2", "a", 0.5)]).entries);
-    expect_that!(candidacy.turn(&view), gt(Instant::now() + Duration::from_millis(60)));
-    expect_that!(candidacy.turn(&view), lt(Instant::now() + Duration::from_secs(1)));
+    expect_that!(candidacy.campaign_time(&view), gt(Instant::now() + Duration::from_millis(60)));
+    expect_that!(candidacy.campaign_time(&view), lt(Instant::now() + Duration::from_secs(1)));
 }
 
 #[gtest]
@@ -214,13 +214,13 @@
     let mut view = divided(&[("entry-1", "a", 0.12)]);
     let mut candidacy = Candidacy::new(Arc::new(entry()), "a".into());
     view.best = 0.5;
-    candidacy.turn(&view);
+    candidacy.campaign_time(&view);
     advance(Duration::from_secs(2)).await;
-    expect_that!(candidacy.turn(&view), le(Instant::now()));
+    expect_that!(candidacy.campaign_time(&view), le(Instant::now()));
     // After an election without the strong machine, it is not waited for again.
     view.best = view.best_registered();
-    candidacy.rest();
-    expect_that!(candidacy.turn(&view), lt(Instant::now() + Duration::from_millis(200)));
+    candidacy.reset_turn();
+    expect_that!(candidacy.campaign_time(&view), lt(Instant::now() + Duration::from_millis(200)));
 }
 
 #[gtest]
@@ -240,11 +240,11 @@
 async fn a_reconnected_failure_domain_campaigns_first() {
     let mut view = divided(&[("entry-1", "a", 0.25)]);
     let mut candidacy = Candidacy::new(Arc::new(entry()), "b".into());
-    expect_that!(candidacy.turn(&view), gt(Instant::now() + Duration::from_secs(5)));
+    expect_that!(candidacy.campaign_time(&view), gt(Instant::now() + Duration::from_secs(5)));
     advance(Duration::from_secs(5)).await;
     let back = divided(&[("e2", "b", 0.25)]);
     view.entries.extend(back.entries);
-    expect_that!(candidacy.turn(&view), gt(Instant::now()));
+    expect_that!(candidacy.campaign_time(&view), gt(Instant::now()));
 }
 
 /// Records timers that are late by `late` for three seconds, at a rate of `inputs` per second.
@@ -323,17 +323,17 @@
     advance(Duration::from_millis(300)).await;
     expect_that!(monitor.answered("members"), none());
     advance(Duration::from_millis(400)).await;
-    expect_that!(monitor.look(), none());
+    expect_that!(monitor.expire_failures(), none());
     advance(Duration::from_millis(200)).await;
     let away = Duration::from_millis(500);
     let back = DependencyEvent::Back { away, tries_failed: 2 };
-    expect_that!(monitor.look(), some(eq(&back)));
+    expect_that!(monitor.expire_failures(), some(eq(&back)));
 
     expect_that!(monitor.failed("members", RetryMode::Steady, "503".to_owned()), none());
     advance(Duration::from_millis(3_000)).await;
-    expect_that!(monitor.look(), none());
+    expect_that!(monitor.expire_failures(), none());
     advance(Duration::from_millis(600)).await;
-    expect_that!(monitor.look(), none());
+    expect_that!(monitor.expire_failures(), none());
     expect_that!(monitor.is_lost(), eq(false));
 }
 
@@ -459,9 +459,9 @@
     view.shards.insert(only_shard(), led);
     shared.handover_inbox.set_lease(Some(3));
     expect_that!(shared.handover_inbox.name(only_shard(), 4), some(eq(3)));
-    expect_that!(matches!(candidacy.standing(&view, true), CandidacyState::Unchanged), eq(true));
+    expect_that!(matches!(candidacy.store_state(&view, true), CandidacyState::Unchanged), eq(true));
     advance(Duration::from_millis(1_600)).await;
-    expect_that!(matches!(candidacy.standing(&view, true), CandidacyState::Won(_)), eq(true));
+    expect_that!(matches!(candidacy.store_state(&view, true), CandidacyState::Won(_)), eq(true));
     // An entry that leaves has no lease and is not named.
     shared.handover_inbox.set_lease(None);
     expect_that!(shared.handover_inbox.name(only_shard(), 5), none());
@@ -476,12 +476,12 @@
     let (input, _receiver) = ring("leader", 4);
     shared.set_leading(&only_shard(), Some(input));
     let shard = only_shard();
-    let reach = || ask_here(&shared, &shard, LeaderCall::Reach);
+    let reach = || ask_own_leader(&shared, &shard, LeaderCall::Reach);
     expect_that!(reach().await, some(eq(&LeaderAnswer::Leading)));
     advance(Duration::from_millis(1_100)).await;
     expect_that!(reach().await, some(eq(&LeaderAnswer::NotLeading)));
     // Another failure domain answers: only the store is unavailable.
-    shared.note_peer();
+    shared.note_peer_answer();
     expect_that!(reach().await, some(eq(&LeaderAnswer::Leading)));
 }
 
--- a/src/placement/pool.rs
+++ b/src/placement/pool.rs
@@ -134,7 +134,7 @@
     }
 
     /// Tells whether `need` fits into the total capacity of some worker.
-    pub fn could_ever_fit(&self, need: &ResourceVector) -> bool {
+    pub fn fits_some_worker(&self, need: &ResourceVector) -> bool {
         self.workers.values().any(|worker| need.fits(&worker.spec.capacity))
     }
 
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -216,7 +216,7 @@
     }
 
     /// Sets whether tasks that may move to other failure domains may start.
-    pub fn allow_movable(&mut self, allowed: bool) {
+    pub fn set_movable_allowed(&mut self, allowed: bool) {
         self.dirty |= allowed && !self.movable_allowed;
         self.movable_allowed = allowed;
     }
@@ -332,7 +332,7 @@
         };
         self.jobs.insert(spec.id.clone(), job);
         let run_time = self.estimates.run_time(&spec);
-        for index in record.open_tasks() {
+        for index in record.unfinished_tasks() {
             match may_be_running {
                 true => {
                     self.possibly_running.insert((spec.id.clone(), index));
@@ -345,7 +345,7 @@
 
     /// Takes from the ledger which tasks were started under earlier leaders. Those that are not
     /// idempotent and do not run here never start again.
-    pub fn note_started(&mut self, record: &JobRecord) {
+    pub fn exclude_started_tasks(&mut self, record: &JobRecord) {
         let id = &record.spec.id;
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.spec.idempotent) else {
             return;
@@ -371,7 +371,7 @@
 
     /// Queues or ends the tasks that might have been running: every worker has answered or its
     /// leases are certain to have expired, so tasks that were not found do not run.
-    pub fn clear_suspects(&mut self) {
+    pub fn clear_possibly_running(&mut self) {
         for task in std::mem::take(&mut self.possibly_running) {
             let Some(job) = self.jobs.get(&task.0) else {
                 continue;
@@ -389,7 +389,7 @@
     }
 
     /// Number of tasks that may run on a worker that has not answered yet.
-    pub fn suspects(&self) -> usize {
+    pub fn possibly_running_count(&self) -> usize {
         self.possibly_running.len()
     }
 
@@ -569,11 +569,11 @@
     }
 
     /// Describes why a job waits.
-    pub fn why_waiting(&self, id: &JobId) -> Option<String> {
+    pub fn describe_wait(&self, id: &JobId) -> Option<String> {
         let queued = self.queue.get(id)?;
         let need = &queued.spec.need;
         let largest = self.pool.largest();
-        match need.exceeds(&largest) {
+        match need.exceeded_resource(&largest) {
             Some(resource) => Some(format!("no worker has enough {resource}: largest {largest:?}")),
             None => Some("waits for room or quota".to_owned()),
         }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -22,7 +22,7 @@
     REGISTRATION_PREFIX, RegistrationError, decode_registration, worker_of_key,
 };
 pub use settings::{SETTINGS_VARIABLE, parse_platform_settings};
-pub(crate) use store::{PAGE_TIME, PlatformStore};
+pub(crate) use store::{PAGE_TIMEOUT, PlatformStore};
 pub(crate) use workers::{CallContext, WorkerClient};
 
 #[cfg(test)]
--- a/src/platform/empty_store.rs
+++ b/src/platform/empty_store.rs
@@ -20,7 +20,7 @@
     /// Number of transactions that were not answered.
     pub(crate) lost: AtomicU64,
     /// Whether transactions are carried out and their answers delayed until this is unset.
-    pub(crate) keeps_answers: AtomicBool,
+    pub(crate) delays_answers: AtomicBool,
     /// Number of transactions whose answers were not lost.
     pub(crate) changes: AtomicU64,
 }
@@ -48,7 +48,7 @@
                 return;
             };
             while head.starts_with("POST /api/kv-txn ")
-                && self.keeps_answers.load(Ordering::Relaxed)
+                && self.delays_answers.load(Ordering::Relaxed)
             {
                 sleep(Duration::from_millis(1)).await;
             }
--- a/src/platform/jobs.rs
+++ b/src/platform/jobs.rs
@@ -120,14 +120,16 @@
     let truncated = |text: String| text.chars().take(MAX_MISTAKE_CHARACTERS).collect();
     let wire: WireJob =
         serde_json::from_slice(body).map_err(|error| vec![truncated(error.to_string())])?;
-    let mut mistakes = Vec::new();
+    let mut validation_errors = Vec::new();
     if !is_job_name(name) {
-        mistakes.push(format!("the job's name has to have {JOB_NAME_LENGTH} hexadecimal digits"));
+        validation_errors
+            .push(format!("the job's name has to have {JOB_NAME_LENGTH} hexadecimal digits"));
     }
     if wire.spec.len() > MAX_PAYLOAD_BYTES {
-        mistakes.push(format!("{} bytes of payload: at most {MAX_PAYLOAD_BYTES}", wire.spec.len()));
+        validation_errors
+            .push(format!("{} bytes of payload: at most {MAX_PAYLOAD_BYTES}", wire.spec.len()));
     }
-    mistakes.extend(negative_times(&wire.steps));
+    validation_errors.extend(negative_times(&wire.steps));
     let repeat = (wire.repeat_count > 0).then(|| RepeatRule {
         count: wire.repeat_count,
         first: wire.first_ms,
@@ -141,11 +143,11 @@
         repeat,
         accepted,
     };
-    mistakes.extend(spec.mistakes());
-    mistakes.truncate(MAX_MISTAKES);
-    match mistakes.is_empty() {
+    validation_errors.extend(spec.validation_errors());
+    validation_errors.truncate(MAX_MISTAKES);
+    match validation_errors.is_empty() {
         true => Ok(spec),
-        false => Err(mistakes),
+        false => Err(validation_errors),
     }
 }
 
--- a/src/platform/settings.rs
+++ b/src/platform/settings.rs
@@ -132,7 +132,7 @@
         descriptors: wire.limits.max_fds,
         grace: seconds(wire.bounds.grace_s),
         bounds: GraphBounds {
-            longest_lease: Duration::from_millis(wire.bounds.hold_max_ms),
+            max_lease: Duration::from_millis(wire.bounds.hold_max_ms),
             retention: seconds(wire.bounds.status_s),
             lease_extension_window: LEASE_EXTENSION_WINDOW,
         },
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -31,7 +31,7 @@
 /// Timeout of a call. Answers take 4 ms, or 240 ms when the store is sixty times slower.
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 /// Timeout of a call for a page of a range. A megabyte over a link of 20 Mbit/s takes half a second.
-pub(crate) const PAGE_TIME: Duration = Duration::from_millis(2_500);
+pub(crate) const PAGE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Added to a watch's wait time to get the timeout of its call.
 const WATCH_SLACK: Duration = Duration::from_millis(700);
 
@@ -180,7 +180,7 @@
 
     /// Reads a page of the keys that begin with a prefix and sort after a key.
     pub(crate) async fn page(&self, prefix: &str, after: &str) -> Result<KeyPage> {
-        self.page_within(prefix, after, PAGE_TIME).await
+        self.page_within(prefix, after, PAGE_TIMEOUT).await
     }
 
     /// Does the same as [`Self::page`], with another timeout.
--- a/src/problem.rs
+++ b/src/problem.rs
@@ -80,7 +80,7 @@
     }
 
     /// Closes the connection after the response, because the bytes that follow may not be a request.
-    pub(crate) fn closing(mut self) -> Self {
+    pub(crate) fn close_after_response(mut self) -> Self {
         self.close_connection = true;
         self
     }
@@ -88,7 +88,7 @@
     /// Builds the response.
     pub(crate) fn response(&self) -> Response<Body> {
         let (parts, bytes) = self.bytes_response().into_parts();
-        Response::from_parts(parts, full(bytes))
+        Response::from_parts(parts, full_body(bytes))
     }
 
     /// Builds the response with its body as bytes.
@@ -119,13 +119,13 @@
 }
 
 /// Makes a body from bytes.
-pub(crate) fn full(bytes: impl Into<Bytes>) -> Body {
+pub(crate) fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| -> io::Error { match never {} }).boxed_unsync()
 }
 
 /// Makes a JSON response.
 pub(crate) fn json_response<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
-    let mut response = Response::new(full(serde_json::to_vec(value).unwrap_or_default()));
+    let mut response = Response::new(full_body(serde_json::to_vec(value).unwrap_or_default()));
     *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
--- a/src/resources.rs
+++ b/src/resources.rs
@@ -105,7 +105,7 @@
 
     /// Returns the name of a dimension in which `self` exceeds `available`, checked in the order
     /// accelerators, memory, processors.
-    pub fn exceeds(&self, available: &Self) -> Option<&'static str> {
+    pub fn exceeded_resource(&self, available: &Self) -> Option<&'static str> {
         match self {
             need if need.accelerators > available.accelerators => Some("accelerators"),
             need if need.memory_mib > available.memory_mib => Some("memory"),
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -197,7 +197,7 @@
     }
 
     /// Tells whether any grant was ever applied.
-    pub fn supplied(&self) -> bool {
+    pub fn has_applied_grant(&self) -> bool {
         self.token.is_some()
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// Slots that this entry may be using now, by upstream; for checks over several entries.
-    pub fn slots_in_reach(&self, now: Instant) -> BTreeMap<UpstreamId, u32> {
+    pub fn usable_slots(&self, now: Instant) -> BTreeMap<UpstreamId, u32> {
         let holds = self.holds_shares(now);
         let reach = |state: &UpstreamState| match holds {
             true => state.share.max(state.in_use),
@@ -417,7 +417,7 @@
     }
 
     /// Tells whether a service has a listed upstream.
-    pub fn serves(&self, service: &ServiceId) -> bool {
+    pub fn has_upstream(&self, service: &ServiceId) -> bool {
         self.services.get(service).is_some_and(ServiceState::has_listed_upstream)
     }
 }
--- a/src/routing/shares.rs
+++ b/src/routing/shares.rs
@@ -70,7 +70,7 @@
     }
 
     /// Sets whether only the even split may be granted.
-    pub fn set_detached(&mut self, detached: bool) {
+    pub fn set_even_split_only(&mut self, detached: bool) {
         self.detached = detached;
     }
 
@@ -90,7 +90,7 @@
     }
 
     /// Clears the shares of an entry whose process has certainly ended.
-    pub fn forget_entry(&mut self, entry: &EntryId) {
+    pub fn reset_entry(&mut self, entry: &EntryId) {
         if let Some(state) = self.entries.get_mut(entry) {
             *state = EntryState { has_reported: true, acknowledged: true, ..EntryState::default() };
         }
--- a/src/standin/server.rs
+++ b/src/standin/server.rs
@@ -27,7 +27,7 @@
 use crate::domain::{VmRecord, VmRole};
 use crate::http::{ListenerLimits, PrepareState, bind, serve_http};
 use crate::id::ServiceId;
-use crate::problem::{full, json_response};
+use crate::problem::{full_body, json_response};
 use crate::standin::settings::StandInSettings;
 use crate::standin::store::{StoreFault, StoreModel};
 use crate::standin::upstream::UpstreamModel;
@@ -244,7 +244,7 @@
 }
 
 fn empty(status: StatusCode) -> Response<Body> {
-    let mut response = Response::new(full(""));
+    let mut response = Response::new(full_body(""));
     *response.status_mut() = status;
     response
 }
--- a/src/standin/upstream.rs
+++ b/src/standin/upstream.rs
@@ -10,7 +10,7 @@
     /// Requests answered.
     pub answered: u64,
     /// Largest number of requests at a time.
-    pub most_at_once: u32,
+    pub max_concurrent: u32,
     /// Requests begun while all slots were in use.
     pub over_slots: u64,
 }
@@ -35,7 +35,7 @@
     pub fn begin(&mut self, mark: Option<&str>) {
         self.in_use += 1;
         self.count.begun += 1;
-        self.count.most_at_once = self.count.most_at_once.max(self.in_use);
+        self.count.max_concurrent = self.count.max_concurrent.max(self.in_use);
         if self.in_use > self.slots {
             self.count.over_slots += 1;
         }
--- a/tests/decisions/scenarios.rs
+++ b/tests/decisions/scenarios.rs
@@ -381,7 +381,7 @@
         let now = world.now;
         let mut text = String::new();
         for (entry, state) in &world.entries {
-            writeln!(text, "{entry} {:?}", state.router.slots_in_reach(now))?;
+            writeln!(text, "{entry} {:?}", state.router.usable_slots(now))?;
         }
         Ok(text)
     }
--- a/tests/decisions/world.rs
+++ b/tests/decisions/world.rs
@@ -569,7 +569,7 @@
     fn check_slots(&self) {
         let mut sums: BTreeMap<UpstreamId, u32> = BTreeMap::new();
         for state in self.entries.values() {
-            for (id, slots) in state.router.slots_in_reach(self.now) {
+            for (id, slots) in state.router.usable_slots(self.now) {
                 *sums.entry(id).or_default() += slots;
             }
         }
--- a/tests/graph/links.rs
+++ b/tests/graph/links.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use kelplink::{AnswerTime, GraphState, SendWindow, WorkerId};
+use kelplink::{AnswerTimeout, GraphState, SendWindow, WorkerId};
 use tokio::time::Instant;
 
 use crate::sim_cluster::{SimCluster, seconds, step};
@@ -71,7 +71,7 @@
 // On a congested link each answer takes 400 ms. A timeout of 150 ms gave up all of them.
 #[gtest]
 fn the_answer_timeout_adapts_to_a_slow_link() {
-    let (mut times, mut now) = (AnswerTime::default(), Instant::now());
+    let (mut times, mut now) = (AnswerTimeout::default(), Instant::now());
     for _ in 0..200 {
         times.answered(Duration::from_millis(3));
     }
--- a/tests/graph/sim_cluster.rs
+++ b/tests/graph/sim_cluster.rs
@@ -23,7 +23,7 @@
 
 pub(crate) const LONGEST_LEASE: Duration = Duration::from_secs(6);
 const BOUNDS: GraphBounds = GraphBounds {
-    longest_lease: LONGEST_LEASE,
+    max_lease: LONGEST_LEASE,
     retention: Duration::from_secs(120),
     lease_extension_window: Duration::from_secs(7),
 };
@@ -651,7 +651,7 @@
                 let record = record.cloned().flatten();
                 if let Some(leader) = self.leaders.get_mut(&leader) {
                     match (kind, record) {
-                        (NoticeKind::Start, Some(record)) => leader.take_share(now, record),
+                        (NoticeKind::Start, Some(record)) => leader.accept_share(now, record),
                         (NoticeKind::Cancel, _) => leader.cancel_share(now, unix, &job),
                         (NoticeKind::Fail, _) => leader.fail_shared(now, unix, &job),
                         (NoticeKind::Start, None) => {}
--- a/tests/graph/unread_registrations.rs
+++ b/tests/graph/unread_registrations.rs
@@ -13,7 +13,7 @@
 
 fn bounds() -> GraphBounds {
     GraphBounds {
-        longest_lease: seconds(6),
+        max_lease: seconds(6),
         retention: seconds(120),
         lease_extension_window: seconds(5),
     }
