--- a/src/graph/changes.rs
+++ b/src/graph/changes.rs
@@ -7,7 +7,7 @@
 /// Position of a waiting change: changes that a caller waits for first, then the oldest.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct ChangeOrder {
-    later: bool,
+    not_urgent: bool,
     number: u64,
 }
 
@@ -28,14 +28,14 @@
     /// position.
     pub(crate) fn insert(&mut self, job: GraphId, urgent: bool) {
         let known = self.jobs.get(&job).copied();
-        if known.is_some_and(|known| !known.later || !urgent) {
+        if known.is_some_and(|known| !known.not_urgent || !urgent) {
             return;
         }
         if let Some(known) = known {
             self.order.remove(&known);
         }
         self.last_number += 1;
-        let order = ChangeOrder { later: !urgent, number: self.last_number };
+        let order = ChangeOrder { not_urgent: !urgent, number: self.last_number };
         self.order.insert(order, job.clone());
         self.jobs.insert(job, order);
     }
--- a/src/graph/commit.rs
+++ b/src/graph/commit.rs
@@ -75,11 +75,11 @@
     changed: ChangeQueue,
     removed: BTreeSet<GraphId>,
     notices: NoticeQueue,
-    workers: bool,
+    workers_changed: bool,
     urgent: bool,
     gathering_since: Option<Instant>,
     last_number: GroupNumber,
-    sent: Option<Instant>,
+    last_sent: Option<Instant>,
     in_flight: Option<(CommitGroup, GroupEffect)>,
     /// Time since which the store has refused every group.
     refused_since: Option<Instant>,
@@ -97,9 +97,9 @@
         self.urgent = true;
     }
 
-    /// Records that a notice to this shard has been handled.
+    /// Records that a notice to this shard has been handled, so that the next group removes it.
     pub(crate) fn settle_notice(&mut self, job: GraphId, kind: NoticeKind, now: Instant) {
-        self.notices.mark_processed(job, kind);
+        self.notices.mark_settled(job, kind);
         self.schedule(now, false);
     }
 
@@ -123,7 +123,7 @@
 
     /// Records that the set of workers that may have runs has changed.
     pub fn note_workers(&mut self, now: Instant, urgent: bool) {
-        self.workers = true;
+        self.workers_changed = true;
         self.schedule(now, urgent);
     }
 
@@ -168,11 +168,11 @@
             self.notices.send(notice.job.clone(), notice.shard.clone(), notice.kind);
         }
         for (job, kind) in &group.settled {
-            self.notices.mark_processed(job.clone(), *kind);
+            self.notices.mark_settled(job.clone(), *kind);
         }
-        self.workers |= group.workers.is_some();
+        self.workers_changed |= group.workers.is_some();
         self.gathering_since.get_or_insert(now);
-        self.sent = Some(now);
+        self.last_sent = Some(now);
         self.refused_since.get_or_insert(now);
         Some(group)
     }
@@ -189,12 +189,12 @@
         }
         let interval =
             if self.refused_since.is_some() { REFUSED_GROUP_INTERVAL } else { MIN_GROUP_INTERVAL };
-        let after_interval = self.sent.map(|sent| sent + interval);
+        let after_interval = self.last_sent.map(|sent| sent + interval);
         let after_gathering =
             self.gathering_since.map(|gathering_since| gathering_since + GATHER_TIME);
         match (self.urgent, after_interval, after_gathering) {
             (true, Some(after_interval), _) => Some(after_interval),
-            (true, None, _) => self.gathering_since.or(self.sent).or(after_gathering),
+            (true, None, _) => self.gathering_since.or(self.last_sent).or(after_gathering),
             (false, Some(after_interval), Some(after_gathering)) => {
                 Some(after_interval.max(after_gathering))
             }
@@ -221,10 +221,10 @@
         keys_left = added_keys_left + change_keys;
         let changed = self.changed.take(keys_left);
         keys_left -= changed.len();
-        let notices = self.notices.take_sent(&mut keys_left);
-        let settled = self.notices.take_processed(&mut keys_left);
+        let notices = self.notices.take_outgoing(&mut keys_left);
+        let settled = self.notices.take_settled(&mut keys_left);
         let removed = take_within(&mut self.removed, &mut keys_left, job_keys.max(2));
-        let workers = std::mem::take(&mut self.workers);
+        let workers_changed = std::mem::take(&mut self.workers_changed);
         let complete = self.changed.is_empty();
         let has_rest = !(complete
             && self.added.is_empty()
@@ -240,14 +240,14 @@
             notices,
             settled,
             removed,
-            workers,
+            workers_changed,
             complete,
         }
     }
 
     /// Records that a group was sent.
     pub fn note_sent(&mut self, group: CommitGroup, effect: GroupEffect, now: Instant) {
-        self.sent = Some(now);
+        self.last_sent = Some(now);
         self.in_flight = Some((group, effect));
     }
 
@@ -267,7 +267,7 @@
     pub(crate) notices: Vec<(GraphId, ShardId, NoticeKind)>,
     pub(crate) settled: Vec<(GraphId, NoticeKind)>,
     pub(crate) removed: Vec<GraphId>,
-    pub(crate) workers: bool,
+    pub(crate) workers_changed: bool,
     /// Whether no changed job is left for a later group, so that with this group all ends seen are
     /// stored.
     pub(crate) complete: bool,
--- a/src/graph/controller.rs
+++ b/src/graph/controller.rs
@@ -36,7 +36,7 @@
 
 /// Run numbers of a task that one epoch may use. Later epochs use higher numbers.
 const RUN_NUMBERS_PER_EPOCH: RunNumber = 1 << 16;
-/// Longest time that a run of an earlier leader goes on after that leader last extended its
+/// Longest time that a run of an earlier leader continues after that leader last extended its
 /// worker's lease: the lease, by a clock that is 2% slow, and the time to kill the run.
 const INHERITED_LEASE_TIME: Duration = WORKER_LEASE.saturating_add(Duration::from_millis(300));
 /// How long the request of a rejected job may arrive again: an entry gives up after three seconds.
@@ -49,7 +49,7 @@
 /// take a fifth of the time at most, however many steps wait.
 const PASS_INTERVAL_FACTOR: u32 = 4;
 /// Shortest time between sweeps over all workers and runs: a leader of 350 workers gets a thousand
-/// inputs a second, and everything that a sweep finds can wait this long.
+/// inputs a second, and the timeouts that a sweep detects tolerate this delay.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(20);
 /// Upper bound of the interval that results from `PASS_INTERVAL_FACTOR`.
 const MAX_PASS_INTERVAL: Duration = Duration::from_millis(150);
@@ -108,12 +108,12 @@
     next_review: Instant,
     /// Workers used by earlier leaders that have not answered this one yet.
     uncontacted: BTreeSet<WorkerId>,
-    /// Whether one of them was lost before it answered, together with the runs that an earlier
-    /// leader had started there.
+    /// Whether an uncontacted worker was lost before it answered, together with the runs that an
+    /// earlier leader had started there.
     lost_before_contact: bool,
-    /// When no run started by an earlier leader can still be going on at such a worker.
+    /// When all runs that an earlier leader started on uncontacted workers have certainly ended.
     inherited_leases_end: Instant,
-    /// Whether the runs at workers that never answered have been given up.
+    /// Whether the runs on workers that never answered have been invalidated.
     unseen_invalidated: bool,
     /// Whether the previous leader is known to have ended.
     predecessor_ended: bool,
@@ -145,11 +145,11 @@
         }
         let mut instances = InstanceTable::new(bounds.max_lease);
         for used in &state.workers {
-            instances.restore_used(now, used, unregistered(used));
+            instances.restore_used(now, used, placeholder_registration(used));
         }
         for job in jobs.iter().filter(|job| !job.is_over()) {
-            for (task, trials) in &job.progress.trials {
-                for suspect_run in trials {
+            for (task, suspect_runs) in &job.progress.trials {
+                for suspect_run in suspect_runs {
                     instances.inherit_suspect_run(now, job.task_name(*task), suspect_run.clone());
                 }
             }
@@ -163,7 +163,7 @@
         let mut uncontacted: BTreeSet<WorkerId> =
             state.workers.into_iter().map(|used| used.id).collect();
         if state.unknown_workers {
-            // No worker has the empty id, so it stays in the set until no inherited run can go on.
+            // No worker has the empty id, so it stays in the set until all inherited runs have ended.
             uncontacted.insert(WorkerId::from(""));
         }
         Self {
@@ -352,7 +352,8 @@
         self.resend(now, extend);
     }
 
-    /// Restarts the work of workers that never answered, once no inherited run can still go on.
+    /// Invalidates the runs on workers that never answered, once all inherited runs have ended, so
+    /// that their tasks are started again.
     fn invalidate_unseen_runs(&mut self, now: Instant) {
         if self.unseen_invalidated || now < self.inherited_leases_end {
             return;
@@ -395,9 +396,9 @@
         PERIODIC_PASS_INTERVAL.max(self.pass_interval)
     }
 
-    /// Failure domains in which runs of an earlier leader may go on, or their ends may still count.
-    /// Before a task is started again its earlier run has to be invalidated; else the end of that
-    /// run could still be acknowledged later.
+    /// Failure domains in which runs of an earlier leader may continue, or their ends may still
+    /// count. Before a task is started again its earlier run has to be invalidated; otherwise the
+    /// end of that run could still be acknowledged later.
     fn unsettled_domains(&self) -> UnsettledDomains {
         match self.unseen_invalidated {
             true => UnsettledDomains::default(),
@@ -499,7 +500,7 @@
 }
 
 /// Placeholder registration for a worker known only from the stored list of used workers.
-fn unregistered(used: &UsedWorker) -> WorkerRegistration {
+fn placeholder_registration(used: &UsedWorker) -> WorkerRegistration {
     WorkerRegistration {
         id: used.id.clone(),
         instance_start: None,
--- a/src/graph/controller/registrations.rs
+++ b/src/graph/controller/registrations.rs
@@ -35,9 +35,9 @@
     /// Handles a new or changed registration of a worker.
     ///
     /// A worker is not polled if neither the configuration nor a job refers to its service. If such
-    /// a worker was in use, it is treated like one whose registration has gone: its runs go on.
+    /// a worker was in use, it is treated like one whose registration has gone: its runs continue.
     pub fn worker_registered(&mut self, now: Instant, registration: WorkerRegistration) {
-        if !self.names_service(&registration.service) {
+        if !self.refers_to_service(&registration.service) {
             return self.stop_using(registration);
         }
         self.unreferenced.remove(&registration.id);
@@ -68,7 +68,7 @@
         }
         self.next_review = now + REVIEW_INTERVAL;
         for (id, registration) in std::mem::take(&mut self.unreferenced) {
-            match self.names_service(&registration.service) {
+            match self.refers_to_service(&registration.service) {
                 true => {
                     info!(worker = &*id, service = &*registration.service; "service of a worker is configured now");
                     self.worker_registered(now, registration);
@@ -82,7 +82,7 @@
 
     /// Whether the current configuration refers to a service, or an open job of a removed queue
     /// still needs it.
-    fn names_service(&self, service: &ServiceId) -> bool {
+    fn refers_to_service(&self, service: &ServiceId) -> bool {
         self.config.as_ref().is_none_or(|config| config.names(service))
             || self.jobs.schedulable().any(|job| job.rule.service == *service)
     }
--- a/src/graph/controller/shares.rs
+++ b/src/graph/controller/shares.rs
@@ -78,9 +78,10 @@
     /// Whether a gang of a job is too large for a shard. It may take a part of the capacity that
     /// lasting tasks leave on the workers that advice allows, estimated from the answers so far.
     ///
-    /// For example, gangs of 33 and 75 tasks of 15 cores came to shards of 220 workers, a third of
-    /// which may run them, most of them with a lasting task of nine cores. Once accepted, they
-    /// never started. No other shard is larger, so such a gang is rejected at once.
+    /// For example, gangs of 33 and 75 tasks of 15 cores were submitted to shards of 220 workers. A
+    /// third of the workers may run such tasks, and most of these had a lasting task of nine cores.
+    /// Once accepted, the gangs never started. No other shard is larger, so such a gang is rejected
+    /// at once.
     pub(super) fn is_too_large(&self, now: Instant, record: &GraphRecord) -> bool {
         let rule = &record.rule;
         let share = rule.advice.map_or(1.0, |_| self.advice.share(&rule.id));
--- a/src/graph/controller/storing.rs
+++ b/src/graph/controller/storing.rs
@@ -46,7 +46,7 @@
             if ids.complete {
                 effect.ends.insert(instance.instance_id(), instance.last_end);
             }
-            if ids.workers && instance.claimed {
+            if ids.workers_changed && instance.claimed {
                 effect.stored_workers.insert(instance.id().clone());
             }
         }
@@ -76,7 +76,7 @@
             removed: ids.removed,
             notices: ids.notices.into_iter().filter_map(notice).collect(),
             settled: ids.settled,
-            workers: ids.workers.then(|| self.instances.in_use()),
+            workers: ids.workers_changed.then(|| self.instances.in_use()),
         }
     }
 
--- a/src/graph/controller/submissions.rs
+++ b/src/graph/controller/submissions.rs
@@ -30,8 +30,8 @@
 /// stored within 10 ms.
 const TRANSIT_DIVISOR: u32 = 3;
 
-/// How long a job waits for the registrations to be read: the try of an entry at one shard takes a
-/// second at most.
+/// How long a job waits for the registrations to be read: an entry waits at most a second for the
+/// answer of one shard.
 const REGISTRATIONS_WAIT: Duration = Duration::from_millis(400);
 
 /// A job that waits for the registrations to be read.
@@ -185,7 +185,7 @@
         self.reject_with_delay(now, call, attempt, id, reason, RETRY_AFTER);
     }
 
-    /// Rejects a request permanently; the caller may submit the job anew after `retry_delay`.
+    /// Rejects a request permanently; the caller may submit the job again after `retry_delay`.
     fn reject_with_delay(
         &mut self,
         now: Instant,
--- a/src/graph/controller/worker_events.rs
+++ b/src/graph/controller/worker_events.rs
@@ -169,8 +169,8 @@
         }
     }
 
-    /// Records that a run has begun. For a suspect run this is stored, because a crash may be
-    /// detected only by the next leader.
+    /// Records that a run has begun. For a suspect run this is stored, because possibly only the
+    /// next leader detects the crash.
     pub(super) fn note_begun(
         &mut self,
         now: Instant,
--- a/src/graph/crash.rs
+++ b/src/graph/crash.rs
@@ -2,8 +2,8 @@
 //!
 //! A task may crash every worker that starts it, and then no worker is left to report how its run ended. So
 //! each run is on probation until its worker has survived the start for a while, and the runs on probation
-//! are the suspects of a crash. Which of them caused it shows in their later starts: no two suspected jobs
-//! share a worker while they are on probation.
+//! are the suspects of a crash. The later starts of these tasks show which of them caused it: no two
+//! suspected jobs share a worker while they are on probation.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
@@ -25,15 +25,15 @@
 /// Crashes after which a task is given up where nothing else explains the last of them. Each crash costs a
 /// worker with all its runs.
 pub(crate) const LONE_CAUSE_CRASH_LIMIT: usize = 2;
-/// The same where other jobs were on probation on the worker, or where the machine crashes by itself.
+/// Crash limit where other jobs were on probation on the worker, or where the machine crashes by itself.
 pub(crate) const MULTI_CAUSE_CRASH_LIMIT: usize = 3;
-/// The same where other workers fell silent at the same time. A rack that fails three times in a row stays
+/// Crash limit where other workers fell silent at the same time. A rack that fails three times in a row stays
 /// below this limit.
 pub(crate) const CORRELATED_CRASH_LIMIT: usize = 4;
-/// The same without `MIN_CERTAIN_CRASHES`, where all workers were replaced: a run may have ended unreported
-/// before its worker crashed.
+/// Crash limit where fewer than `MIN_CERTAIN_CRASHES` are certain, but all workers were replaced: a run may
+/// have ended unreported before its worker crashed.
 const PROVEN_CRASH_LIMIT: usize = 3;
-/// The same where some workers are only silent, or some runs may never have begun.
+/// Crash limit where some workers are only silent, or some runs may never have begun.
 const UNCERTAIN_CRASH_LIMIT: usize = 4;
 /// Minimum number of runs that had begun before a task is given up, whatever else is uncertain: a start
 /// without an answer may not have arrived.
@@ -41,8 +41,8 @@
 /// Number of crashes, and of silences that may be crashes, from which the next start is delayed.
 const DELAY_CRASH_COUNT: usize = 2;
 /// Longest hash-based delay of the next start of a suspected task. Several tasks that start at the same time
-/// crash their workers at the same time, which then looks like the failure of a rack: four of them were
-/// started in step six times.
+/// crash their workers at the same time, which then looks like the failure of a rack: without this delay,
+/// four of them were started together six times.
 const MAX_START_SPREAD: Duration = Duration::from_millis(800);
 /// Backoff from one more crash on, doubled with each further one: uncertain starts alone do not end a job,
 /// and may cost a worker each.
@@ -100,9 +100,8 @@
     pub(crate) task: TaskName,
     /// Number of the start.
     pub(crate) run: RunNumber,
-    /// Whether it was certainly running and is a likely cause: its worker had reported it as begun and was
-    /// not told to stop it, it cannot have ended unreported, and no task of another job was started there
-    /// after it.
+    /// Whether it was certainly running and is a likely cause: its worker had reported it as begun, no stop
+    /// was sent, it cannot have ended unreported, and no task of another job was started there after it.
     pub(crate) sure: bool,
     /// Whether its worker had reported it as begun.
     pub(crate) begun: bool,
--- a/src/graph/home.rs
+++ b/src/graph/home.rs
@@ -1,10 +1,11 @@
 //! Home domains: the failure domain in which a job runs.
 //!
-//! This limits the effect of a failure domain that is cut off on urgent jobs of ten tasks. Spread
-//! over three domains, nearly every job has a task behind the cut and waits for the lease of its
-//! worker to expire; with each job in one domain, two thirds of the jobs are not affected. A new
-//! leader continues a job as soon as the workers of its domains have answered: the home is stored
-//! with the job, and another domain is used only once it is stored as well.
+//! This limits the effect of a network partition that cuts off a failure domain on urgent jobs of
+//! ten tasks. If jobs are spread over three domains, nearly every job has a task in the domain that
+//! is cut off and waits for the lease of that task's worker to expire. With each job in one domain,
+//! two thirds of the jobs are not affected. A new leader continues a job as soon as the workers of
+//! its domains have answered: the home is stored with the job, and another domain is used only once
+//! it is stored as well.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -19,8 +20,9 @@
 use crate::graph::step_capacity::tasks_that_fit;
 use crate::id::DomainId;
 
-/// Longest objective of a job with a home. A job with a longer one can outlast a cut of a domain,
-/// which takes 5 to 7 s on our users' deployments, and is better placed where there is capacity.
+/// Longest objective of a job with a home. A job with a longer one can wait until a domain that was
+/// cut off is back, which takes 5 to 7 s on our users' deployments, and is better placed where there
+/// is capacity.
 const MAX_HOME_OBJECTIVE: Duration = Duration::from_secs(10);
 
 /// The failure domain with the most capacity for a new job; `None` for a job that may run anywhere.
@@ -58,7 +60,7 @@
         && step.reservation().fits(&registration.capacity)
 }
 
-/// Failure domains in which runs of an earlier leader may go on although their workers have not
+/// Failure domains in which runs of an earlier leader may continue although their workers have not
 /// answered.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct UnsettledDomains {
--- a/src/graph/jobs.rs
+++ b/src/graph/jobs.rs
@@ -169,8 +169,8 @@
         effect
     }
 
-    /// Makes unknown runs of earlier leaders stop counting, as they may have gone on or ended unseen: for
-    /// each task whose earlier runs this leader does not know, only runs from `first` on count. Returns the
+    /// Invalidates runs of earlier leaders that this leader does not know, as they may have continued or ended
+    /// without a report: for each task that may have such a run, only runs from `first` on count. Returns the
     /// jobs that changed.
     pub(crate) fn invalidate_unseen_runs(
         &mut self,
--- a/src/graph/jobs/crashes.rs
+++ b/src/graph/jobs/crashes.rs
@@ -146,8 +146,8 @@
         count.all += 1;
     }
     let is_accounted_for = |run: RunNumber| {
-        let goes_on = job.live.get(&task).is_some_and(|live| live.run == run);
-        goes_on || job.withdrawn.get(&task) == Some(&run)
+        let still_runs = job.live.get(&task).is_some_and(|live| live.run == run);
+        still_runs || job.withdrawn.get(&task) == Some(&run)
     };
     let suspect_run_numbers =
         progress.trials.get(&task).into_iter().flatten().map(|suspect_run| suspect_run.run);
@@ -158,9 +158,9 @@
     count
 }
 
-/// Delays the next start of a task that was suspected before, so that suspected tasks do not start in step,
-/// and longer with each crash. After the first crash a task starts at once, since most tasks only ran beside
-/// the cause.
+/// Delays the next start of a task that was suspected before, longer with each crash and by a different time
+/// for each task, so that suspected tasks do not start at the same time. After the first crash a task starts
+/// at once, since most tasks only ran beside the cause.
 pub(super) fn delay_start(job: &mut GraphJob, task: &TaskName, run: RunNumber, now: Instant) {
     let count = crash_count(job, task.key);
     let no_newer_run = job.live.get(&task.key).is_none_or(|live| live.run == run);
--- a/src/graph/notice.rs
+++ b/src/graph/notice.rs
@@ -1,7 +1,7 @@
 //! Notices from the leader of one shard to that of another, through the store.
 //!
 //! A notice stays in the store until the receiving leader has stored what follows from it, and is removed in
-//! the same group. So no notice is lost with a leader, and a leader that has been succeeded cannot act on
+//! the same group. So no notice is lost when a leader fails, and a leader that has a successor cannot act on
 //! one.
 
 use std::collections::BTreeSet;
@@ -37,32 +37,32 @@
 /// Notices that wait to be written with a group.
 #[derive(Debug, Default)]
 pub(crate) struct NoticeQueue {
-    sent: BTreeSet<(GraphId, ShardId, NoticeKind)>,
+    outgoing: BTreeSet<(GraphId, ShardId, NoticeKind)>,
     settled: BTreeSet<(GraphId, NoticeKind)>,
 }
 
 impl NoticeQueue {
     /// Queues a notice about a job to a shard.
     pub(crate) fn send(&mut self, job: GraphId, shard: ShardId, kind: NoticeKind) {
-        self.sent.insert((job, shard, kind));
+        self.outgoing.insert((job, shard, kind));
     }
 
     /// Queues the removal of a notice to this shard, to be stored together with what follows from the notice.
-    pub(crate) fn mark_processed(&mut self, job: GraphId, kind: NoticeKind) {
+    pub(crate) fn mark_settled(&mut self, job: GraphId, kind: NoticeKind) {
         self.settled.insert((job, kind));
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.sent.is_empty() && self.settled.is_empty()
+        self.outgoing.is_empty() && self.settled.is_empty()
     }
 
     /// Takes at most `limit` notices to send, and lowers `limit` by their number.
-    pub(crate) fn take_sent(&mut self, limit: &mut usize) -> Vec<(GraphId, ShardId, NoticeKind)> {
-        pop_up_to(&mut self.sent, limit)
+    pub(crate) fn take_outgoing(&mut self, limit: &mut usize) -> Vec<(GraphId, ShardId, NoticeKind)> {
+        pop_up_to(&mut self.outgoing, limit)
     }
 
     /// Takes at most `limit` notices to remove, and lowers `limit` by their number.
-    pub(crate) fn take_processed(&mut self, limit: &mut usize) -> Vec<(GraphId, NoticeKind)> {
+    pub(crate) fn take_settled(&mut self, limit: &mut usize) -> Vec<(GraphId, NoticeKind)> {
         pop_up_to(&mut self.settled, limit)
     }
 }
--- a/src/graph/placer/advice_requests.rs
+++ b/src/graph/placer/advice_requests.rs
@@ -178,10 +178,10 @@
         candidates
     }
 
-    /// Counts capacity that preemption can free, for use when there is no free capacity: a step
-    /// that asked only about workers with free capacity had 16 of 40 lasting tasks run. Stops after
+    /// Counts capacity that preemption can free, for use when there is no free capacity: when a
+    /// step asked only about workers with free capacity, 16 of its 40 lasting tasks ran. Stops after
     /// as many workers as one call can name: checks of all 350 workers for each request slowed the
-    /// machine of the leader so much that it could not lead.
+    /// machine of the leader so much that it could not keep its leadership.
     fn note_preemptable_capacity(
         &self,
         step: &OpenStep<'t>,
--- a/src/graph/preemption.rs
+++ b/src/graph/preemption.rs
@@ -113,8 +113,8 @@
         .map(|(task, run)| (work_lost(run, now), task, run))
         .collect();
     candidates.sort_by(|a, b| a.0.total_cmp(&b.0));
-    // On a worker whose capacity has shrunk, the excess must be freed as well: without this one run
-    // was stopped for each urgent task to no effect.
+    // On a worker whose capacity has shrunk, the excess must be freed as well: without this, one
+    // run was stopped for each urgent task to no effect.
     let need = need.saturating_add(&instance.excess());
     let mut capacity = *free;
     let (mut lost, mut chosen) = (0.0, Vec::new());
@@ -129,7 +129,8 @@
     (need.fits(&capacity) && lost <= budget * MAX_LOSS_RATIO).then_some((lost, chosen))
 }
 
-/// Excludes runs whose start is unanswered, and runs whose absence is limited or breaks others.
+/// Whether a run may be preempted: its worker has confirmed it, and it is neither a member of a gang, which
+/// would break the others, nor a lasting task, whose absence is limited.
 fn may_stop(run: &WorkerRun) -> bool {
     matches!(run.phase, RunPhase::Running { .. }) && run.preemptible
 }
--- a/src/graph/shard.rs
+++ b/src/graph/shard.rs
@@ -21,7 +21,7 @@
 const WORKERS_PER_CORE: f64 = 800.0;
 /// Minimum number of workers in a shard, whatever its leader's machine. With two kinds of workers, of which
 /// advice allows a third, a step then has 16 to choose from. In shards of 33 workers, gangs of four waited
-/// for good on five days of seven.
+/// indefinitely on five days of seven.
 const MIN_SHARD_SIZE: usize = 100;
 /// Separates a failure domain from the number of a share of its racks.
 const PART_SEPARATOR: char = '.';
@@ -117,7 +117,7 @@
                     && self
                         .domains
                         .get(shard_domain)
-                        .is_some_and(|n| hash_bucket(entry, *n) == part)
+                        .is_some_and(|parts| hash_bucket(entry, *parts) == part)
             }
             None => true,
         }
--- a/src/graph/spec.rs
+++ b/src/graph/spec.rs
@@ -9,17 +9,17 @@
 use crate::id::{RackId, UnixMillis};
 use crate::resources::ResourceVector;
 
-/// Most steps in one graph.
+/// Maximum number of steps in one graph.
 const MAX_STEPS: usize = 256;
-/// Most tasks in one step.
+/// Maximum number of tasks in one step.
 const MAX_TASKS: u32 = 10_000;
 /// Longest run time or latency bound that a step may declare, about a year: sums over a graph and
 /// their multiples stay far below the range of `Duration`.
 const MAX_TIME: Duration = Duration::from_secs(366 * 24 * 3_600);
 /// Longest time from the acceptance of a job to its last occurrence, about a century.
 const MAX_SCHEDULE: Duration = Duration::from_secs(100 * 366 * 24 * 3_600);
-/// Most bytes that the record of succeeded tasks may take in the store: half of the largest value,
-/// 1 MiB. The rest is for checkpoints and failed runs.
+/// Maximum size of the record of succeeded tasks in the store: half of the largest value, 1 MiB. The
+/// rest is for checkpoints and failed runs.
 const MAX_PROGRESS_BYTES: u64 = 512 << 10;
 /// Bytes of a task in that record: four digits and a comma.
 const TASK_PROGRESS_BYTES: u64 = 5;
@@ -50,9 +50,9 @@
     pub label: Option<Arc<str>>,
     /// Rack with the data; tasks are slower on any other.
     pub affinity: Option<RackId>,
-    /// Most tasks of the step on one worker.
+    /// Maximum number of tasks of the step on one worker.
     pub max_per_worker: Option<u32>,
-    /// Whether several runs of a task may go on at the same time.
+    /// Whether several runs of a task may exist at the same time.
     pub speculative: bool,
     /// Whether the tasks run until the job is cancelled.
     pub lasting: bool,
@@ -62,7 +62,7 @@
     pub target: Option<Duration>,
     /// Whether the tasks use processors that other tasks leave idle, without reserving any.
     pub best_effort: bool,
-    /// Most lasting tasks that may be unavailable because of actions of the system.
+    /// Maximum number of lasting tasks that may be unavailable because of actions of the system.
     pub max_unavailable: Option<u32>,
 }
 
@@ -157,13 +157,13 @@
                 errors.push(format!("step {index} has a time of over {MAX_TIME:?}"));
             }
         }
-        errors.extend(self.repeat_mistakes());
+        errors.extend(self.schedule_errors());
         errors
     }
 
     /// Validates the schedule: the last occurrence must not be too late, and the record of all
     /// occurrences must fit into one value of the store.
-    fn repeat_mistakes(&self) -> Vec<String> {
+    fn schedule_errors(&self) -> Vec<String> {
         let mut errors = Vec::new();
         let last = self.due(self.occurrences().saturating_sub(1)).unwrap_or_default();
         let latest = u64::try_from(MAX_SCHEDULE.as_millis()).unwrap_or(u64::MAX);
--- a/src/graph/worker_event.rs
+++ b/src/graph/worker_event.rs
@@ -17,12 +17,12 @@
     Ended(WorkerId, EndReport),
     /// A worker lists a run that this leader has not started.
     Unknown(WorkerId, RunReport),
-    /// A run may still be begun by another instance of its worker, though that does not list it.
+    /// Another instance of the worker does not list a run, but may still begin it.
     MayStillBegin(WorkerId, TaskName, RunNumber),
     /// A run is no longer on its worker, or never arrived there.
     Lost(WorkerId, LostRun),
-    /// A run was given up with its worker's lease, and may have gone on or ended until then. A run on
-    /// probation may have crashed the worker.
+    /// A run was given up because its worker's lease expired; whether it continued or ended before that is
+    /// unknown. A run on probation may have crashed the worker.
     GivenUp(WorkerId, LostRun, Option<SuspectRun>),
     /// A worker has confirmed a run that was sent.
     Confirmed(WorkerId, TaskName, RunNumber),
