--- a/src/graph/advice.rs
+++ b/src/graph/advice.rs
@@ -127,7 +127,7 @@
     }
 
     /// Whether a call for a step may be made now.
-    pub fn may_ask(&self, key: &AdviceKey, now: Instant) -> bool {
+    pub fn may_request(&self, key: &AdviceKey, now: Instant) -> bool {
         self.steps.get(key).is_none_or(|step| {
             step.open_call.is_none() && step.retry_at.is_none_or(|retry_at| retry_at <= now)
         })
--- a/src/graph/commit.rs
+++ b/src/graph/commit.rs
@@ -20,7 +20,7 @@
 /// Keys that jobs may use in one group: the store accepts 32 in a transaction, and the group itself
 /// needs three.
 pub(crate) const GROUP_KEYS: usize = 28;
-/// While changes wait, one part in this many of a group is left to them by new jobs. With a store
+/// While changes wait, new jobs leave them one part in this many of a group's keys. With a store
 /// that took 370 ms per group, a burst of new jobs, nine per group, filled every group, and
 /// verdicts waited until the burst was over.
 const CHANGE_KEY_DIVISOR: usize = 2;
--- a/src/graph/controller/commands.rs
+++ b/src/graph/controller/commands.rs
@@ -327,7 +327,7 @@
                 if let Some(worker_run) = worker_run {
                     worker_run.failed_stops += 1;
                     // Only the first failure is logged: each stop is sent eleven times to a worker
-                    // that is unreachable for its whole lease.
+                    // that is unreachable until its lease expires.
                     if worker_run.failed_stops == 1 {
                         warn!(task:% = task, run, worker = &**worker, failure:?; "stop failed");
                     }
--- a/src/graph/controller/worker_events.rs
+++ b/src/graph/controller/worker_events.rs
@@ -71,8 +71,8 @@
                     self.uncontacted.remove(&worker);
                     self.commits.note_workers(now, true);
                 }
-                // Processed later in `review_crashes`, which has the wall time that a verdict
-                // needs; not every event comes with one.
+                // Processed later in `review_crashes`: a verdict needs the wall time, and not every
+                // caller of this method has it.
                 WorkerEvent::Crashed(crash) => self.crashes.push(crash),
                 WorkerEvent::CrashSuspected(task, suspect_run) => {
                     info!(task:% = task, run = suspect_run.run, worker = &*suspect_run.worker; "worker has not answered since a start");
--- a/src/graph/crash_table.rs
+++ b/src/graph/crash_table.rs
@@ -25,11 +25,11 @@
 /// A start that came this much later than another is the more likely cause of a crash. Without this rule, two
 /// of 18 tasks that ran beside the first starts of six crashing tasks were given up.
 const LIKELY_CAUSE_DELAY: Duration = Duration::from_millis(100);
-/// How long a machine that has crashed is expected to crash by itself again: workers that go up and down in
-/// turns do so for 30 s.
+/// How long a machine that has crashed is expected to crash by itself again: workers that crash and restart
+/// repeatedly do so for 30 s.
 const MACHINE_CRASH_RETENTION: Duration = Duration::from_secs(30);
-/// How long given-up runs are kept until a proof that their worker had crashed: it is back seconds after its
-/// crash, and registers within one heartbeat.
+/// How long given-up runs are kept until their worker is proven to have crashed: a crashed worker is back
+/// within seconds, and registers within one heartbeat.
 const SILENT_RUN_RETENTION: Duration = Duration::from_secs(60);
 
 /// Runs on probation that were given up with a worker that may have crashed under them.
--- a/src/graph/instances.rs
+++ b/src/graph/instances.rs
@@ -21,13 +21,14 @@
 use crate::graph::worker_event::{LostRun, WorkerEvent};
 use crate::id::WorkerId;
 
-/// Lease of a worker, within which its tasks run on without another call. A worker that dies holds its tasks
-/// for this long; a leader that dies must be replaced within it.
+/// Lease of a worker, during which its tasks keep running without another call. The tasks of a worker that
+/// stops answering are started elsewhere only after this time; a leader that crashes must be replaced within
+/// it.
 pub(crate) const WORKER_LEASE: Duration = Duration::from_millis(4_500);
 /// Pause before the next poll while run ends wait for the store.
 const STORE_PAUSE: Duration = Duration::from_millis(250);
-/// Pause before the next poll of a worker that lists an unacknowledged end for good, and therefore answers
-/// each poll at once.
+/// Pause before the next poll of a worker whose list keeps an end that must not be acknowledged, so that it
+/// answers each poll at once.
 const WITHHELD_PAUSE: Duration = Duration::from_millis(250);
 /// How long after an answered poll the next poll is assumed to reach the same instance. A worker does not
 /// restart, and a task does not begin and end there, within this time.
@@ -102,11 +103,11 @@
         self.crashes.crashed_recently(now, &instance.address())
     }
 
-    /// Applies a registration. Of two instances at an address only the worker itself can say which has ended,
-    /// as the older one may register once more after the newer. So the other instances at the address are
-    /// polled at once, and the worker refuses calls to an ended instance. Assuming that the last registration
-    /// is the newer one made up to 13 tasks of a day run twice, on days on which workers crash while they are
-    /// cut off by a network partition.
+    /// Applies a registration. If two instances have registered with the same address, only an answer of the
+    /// worker shows which of them has ended, as the older one may register once more after the newer. So the
+    /// other instances at the address are polled at once, and the worker refuses calls to an ended instance.
+    /// When the last registration was assumed to be the newer one, up to 13 tasks a day ran twice on days on
+    /// which workers crash while a network partition cuts them off.
     pub(crate) fn register(&mut self, now: Instant, registration: WorkerRegistration) {
         let others = self.instances.values_mut().filter(|instance| {
             instance.address() == registration.address && *instance.id() != registration.id
@@ -148,7 +149,7 @@
             && std::mem::replace(&mut instance.registered, false)
         {
             instance.reregistration_deadline =
-                instance.leaves.is_none().then(|| now + REREGISTRATION_TIME);
+                instance.leaves_at.is_none().then(|| now + REREGISTRATION_TIME);
         }
     }
 
@@ -164,7 +165,7 @@
         let Some(instance) = self.instances.get(id) else {
             return Vec::new();
         };
-        if instance.leaves.is_some() {
+        if instance.leaves_at.is_some() {
             return self.end_instance(id, InstanceEnd::Left);
         }
         let silent = self.other_silences(id);
@@ -174,7 +175,7 @@
         events
     }
 
-    /// Since when each other silent worker has been silent.
+    /// Times since which the other silent workers have been silent.
     fn other_silences(&self, id: &WorkerId) -> Vec<Instant> {
         let others = self.instances.values().filter(|other| other.id() != id);
         others.filter_map(|other| other.silent_since).collect()
@@ -199,17 +200,17 @@
     /// worker that is cut off for 6 s would hold its tasks for 10 s instead of 5.
     pub(crate) fn due_polls(&mut self, now: Instant, extend: bool) -> Vec<GraphAction> {
         let due = |instance: &&mut WorkerInstance| {
-            instance.polling.is_none() && instance.next_poll <= now
+            instance.poll_sent.is_none() && instance.next_poll <= now
         };
         let busy_wait = self.pacer.busy_wait(now, self.instances.len());
         let mut polls = Vec::new();
         for instance in self.instances.values_mut().filter(due) {
-            instance.polling = Some(now);
+            instance.poll_sent = Some(now);
             // The lease of an idle worker without registration is not extended: otherwise it would never
-            // expire and the worker would be polled for good.
+            // expire and the worker would be polled forever.
             let is_used = instance.registered || !instance.runs.is_empty();
-            // Another instance numbers its ends anew, and would drop its first ends unread if a number of
-            // this instance were acknowledged.
+            // Each instance has its own numbers for ends. Another instance would drop its first ends unread
+            // if a number of this instance were acknowledged.
             let same_instance =
                 instance.last_poll_answer.is_some_and(|at| now - at <= SAME_INSTANCE_TIME);
             let until = match extend && is_used && instance.misses == 0 {
@@ -238,7 +239,7 @@
 
     /// When the next poll is due.
     pub(crate) fn next_poll(&self) -> Option<Instant> {
-        let idle = self.instances.values().filter(|instance| instance.polling.is_none());
+        let idle = self.instances.values().filter(|instance| instance.poll_sent.is_none());
         idle.map(|instance| instance.next_poll).min()
     }
 
@@ -278,15 +279,15 @@
                 events.push(WorkerEvent::Ended(id.clone(), end));
             }
         }
-        if reply.clock < instance.snapshot {
-            let (newest, clock) = (instance.snapshot.as_millis(), reply.clock.as_millis());
+        if reply.clock < instance.newest_list_clock {
+            let (newest, clock) = (instance.newest_list_clock.as_millis(), reply.clock.as_millis());
             if !std::mem::replace(&mut instance.list_outdated, true) {
                 warn!(worker = &**id, newest_ms = newest as u64, clock_ms = clock as u64; "list of runs is older than a previous list of the worker");
             }
             metrics::counter!("kelplink_overtaken_lists_total").increment(1);
         } else {
             instance.list_outdated = false;
-            instance.snapshot = reply.clock;
+            instance.newest_list_clock = reply.clock;
             let running = apply_running_list(instance, now, reply.running, reply.clock);
             events.extend(running);
         }
@@ -323,14 +324,14 @@
             return events;
         };
         instance.instance_start = reply.instance_start.or(instance.instance_start);
-        let asked = instance.polling.take();
-        instance.confirm_list(now, asked);
+        let poll_sent = instance.poll_sent.take();
+        instance.resolve_pending_registration(now, poll_sent);
         instance.last_poll_answer = Some(now);
         instance.note_answer(now, reply.clock);
         let offered_lease_end = instance.offered_lease_end.take();
         instance.grant_lease(offered_lease_end);
         let claimed = std::mem::replace(&mut instance.claimed, true);
-        // Its lease may have been extended on the clock of a previous instance.
+        // The worker's lease may have been extended on the clock of a previous instance.
         if !known_instance {
             instance.inherit_lease(self.max_lease);
         } else if !claimed {
@@ -370,7 +371,7 @@
         let Some(instance) = self.instances.get_mut(id) else {
             return Vec::new();
         };
-        instance.polling = None;
+        instance.poll_sent = None;
         instance.last_poll_answer = None;
         instance.note_silence(now);
         instance.next_poll = now + miss_pause(instance.misses);
@@ -390,8 +391,8 @@
     }
 
     /// Returns runs on probation that have begun on workers that have fallen silent. They are stored before
-    /// the fate of the worker is known, as a crashed worker is back only seconds later: if the leader were
-    /// lost in between, the next one would start counting from zero.
+    /// it is known whether the worker has crashed, as a crashed worker is back only seconds later: if the
+    /// leader were lost in between, the next one would start counting from zero.
     pub(crate) fn crash_suspicions(&mut self, now: Instant) -> Vec<WorkerEvent> {
         let silent = |instance: &&mut WorkerInstance| {
             let since = instance.silent_since.filter(|_| instance.misses >= SUSPECT_MISSES);
@@ -415,7 +416,7 @@
 
     /// Removes the runs of workers whose lease has certainly expired, and reports them as given up.
     pub(crate) fn expired_runs(&mut self, now: Instant) -> Vec<WorkerEvent> {
-        let (mut events, longest) = (Vec::new(), self.max_lease);
+        let (mut events, max_lease) = (Vec::new(), self.max_lease);
         for instance in self.instances.values_mut() {
             if instance.runs.is_empty() || !instance.is_lease_expired(now) {
                 continue;
@@ -423,7 +424,7 @@
             let ended = instance
                 .runs
                 .iter()
-                .filter(|(_, run)| instance.has_certainly_ended(run, now, longest));
+                .filter(|(_, run)| instance.has_certainly_ended(run, now, max_lease));
             let tasks: Vec<TaskName> = ended.map(|(task, _)| task.clone()).collect();
             for task in tasks {
                 if let Some(run) = instance.remove_run(&task) {
@@ -483,16 +484,16 @@
 impl WorkerInstance {
     /// Returns the run as a suspect if it is on probation and its worker has not announced that it leaves.
     fn suspect_run(&self, run: &WorkerRun) -> Option<SuspectRun> {
-        let is_suspect = run.probation.is_some() && self.leaves.is_none();
+        let is_suspect = run.probation.is_some() && self.leaves_at.is_none();
         let (worker, address, instance_start) =
             (self.id().clone(), self.address(), self.instance_start);
         is_suspect.then_some(SuspectRun { run: run.run, worker, address, instance_start })
     }
 
-    /// Whether it has left as announced: it is unregistered and its remaining time is over. The caller has
+    /// Whether it has left as announced: it is unregistered and its remaining time has passed. The caller has
     /// found that nothing answers at its address.
     fn has_left(&self, now: Instant) -> bool {
-        !self.registered && self.leaves.is_some_and(|leaves| leaves <= now)
+        !self.registered && self.leaves_at.is_some_and(|leaves_at| leaves_at <= now)
     }
 }
 
@@ -545,7 +546,7 @@
     let is_gone = |(task, run): &(&TaskName, &WorkerRun)| {
         let since = match run.phase {
             // A worker refuses a start once the time that it is valid for has passed on its clock. Without
-            // this rule, a worker that answered polls but neither starts nor stops held a task for good.
+            // this rule, a worker that answered polls but neither starts nor stops blocked a task forever.
             RunPhase::Sent { .. } | RunPhase::Stopping { answered: None, .. } => match run.until {
                 Some(until) => until,
                 None => return false,
--- a/src/graph/instances/restart.rs
+++ b/src/graph/instances/restart.rs
@@ -31,7 +31,7 @@
             runs.partition(|(task, run)| reply.lists(task, run.run));
         instance.runs = other;
         let crash =
-            instance.leaves.is_none().then(|| self.crashes.note_crash(now, instance, &silent));
+            instance.leaves_at.is_none().then(|| self.crashes.note_crash(now, instance, &silent));
         let (other, answered) = (std::mem::take(&mut instance.runs), instance.last_answer);
         *instance = instance.next_instance(now, reply.instance_start);
         for (task, run) in listed {
--- a/src/graph/job.rs
+++ b/src/graph/job.rs
@@ -80,8 +80,8 @@
     pub stored_announced: BTreeMap<TaskKey, RunNumber>,
     /// Tasks whose start an earlier leader announced and may have sent.
     pub inherited_starts: BTreeSet<TaskKey>,
-    /// Last start of a task that was certainly not carried out; the store may still have it as a run that may
-    /// crash its worker.
+    /// Last start of each task that was certainly not carried out; the store may still list it as a suspect
+    /// run.
     pub withdrawn: BTreeMap<TaskKey, RunNumber>,
     /// Verdict that the store has.
     pub stored_verdict: Option<GraphVerdict>,
@@ -167,9 +167,9 @@
 
     /// State as reported to callers.
     ///
-    /// A verdict is reported only once it is stored. Reported as soon as the workers had listed all ends, a
-    /// success could be lost where the only record of it went with a worker and the leader in one outage of
-    /// the store: 13 to 64 tasks of such days ran again.
+    /// A verdict is reported only once it is stored. When it was reported as soon as the workers had listed all
+    /// ends, a success was lost if the worker that listed it and the leader both failed in one outage of the
+    /// store: 13 to 64 tasks ran again on days with such failures.
     pub fn state(&self) -> GraphState {
         match self.stored_verdict {
             Some(GraphVerdict::Completed) => GraphState::Completed,
--- a/src/graph/notice.rs
+++ b/src/graph/notice.rs
@@ -57,7 +57,10 @@
     }
 
     /// Takes at most `limit` notices to send, and lowers `limit` by their number.
-    pub(crate) fn take_outgoing(&mut self, limit: &mut usize) -> Vec<(GraphId, ShardId, NoticeKind)> {
+    pub(crate) fn take_outgoing(
+        &mut self,
+        limit: &mut usize,
+    ) -> Vec<(GraphId, ShardId, NoticeKind)> {
         pop_up_to(&mut self.outgoing, limit)
     }
 
--- a/src/graph/placer/advice_requests.rs
+++ b/src/graph/placer/advice_requests.rs
@@ -74,7 +74,7 @@
         };
         let key = (step.job.spec.id.clone(), step.key);
         let enough = self.plan.advice_requests.len() >= self.requests_left;
-        if enough || !self.view.advice.may_ask(&key, self.view.now) {
+        if enough || !self.view.advice.may_request(&key, self.view.now) {
             return;
         }
         let NamedWorkers { workers, useful } = self.workers_to_name(step, &rule, missing);
--- a/src/graph/preemption.rs
+++ b/src/graph/preemption.rs
@@ -129,8 +129,8 @@
     (need.fits(&capacity) && lost <= budget * MAX_LOSS_RATIO).then_some((lost, chosen))
 }
 
-/// Whether a run may be preempted: its worker has confirmed it, and it is neither a member of a gang, which
-/// would break the others, nor a lasting task, whose absence is limited.
+/// Whether a run may be preempted: its worker has confirmed it, and it is neither a member of a gang, whose
+/// other members would end with it, nor a lasting task, whose unavailability is limited.
 fn may_stop(run: &WorkerRun) -> bool {
     matches!(run.phase, RunPhase::Running { .. }) && run.preemptible
 }
--- a/src/graph/progress.rs
+++ b/src/graph/progress.rs
@@ -50,7 +50,7 @@
     /// Announced starts of tasks that may crash their workers. They are stored before a worker is chosen, so
     /// that no such start is sent without a record.
     pub announced: BTreeMap<TaskKey, RunNumber>,
-    /// Last checkpoint of each stopped task.
+    /// Last checkpoint of each task that was stopped or lost.
     pub saved: BTreeMap<TaskKey, String>,
     /// Lowest run number that counts, for tasks that were started again while the outcome of an earlier run
     /// was unknown.
@@ -225,8 +225,9 @@
         let runs = |(occurrence, step, index, runs)| (TaskKey::new(occurrence, step, index), runs);
         let crashes =
             |(occurrence, step, index, runs)| (TaskKey::new(occurrence, step, index), runs);
-        let trials =
-            |(occurrence, step, index, trials)| (TaskKey::new(occurrence, step, index), trials);
+        let suspect_runs = |(occurrence, step, index, suspect_runs)| {
+            (TaskKey::new(occurrence, step, index), suspect_runs)
+        };
         let start = |(occurrence, step, index, run)| (TaskKey::new(occurrence, step, index), run);
         let saved = |(occurrence, step, index, text)| (TaskKey::new(occurrence, step, index), text);
         let floor = |(occurrence, step, index, run)| (TaskKey::new(occurrence, step, index), run);
@@ -237,7 +238,7 @@
             done: stored.done.into_iter().map(step).collect(),
             failures: stored.failures.into_iter().map(runs).collect(),
             crashes: stored.crashes.into_iter().map(crashes).collect(),
-            trials: stored.trials.into_iter().map(trials).collect(),
+            trials: stored.trials.into_iter().map(suspect_runs).collect(),
             confirmed: stored.confirmed.into_iter().map(runs).collect(),
             announced: stored.announced.into_iter().map(start).collect(),
             saved: stored.saved.into_iter().map(saved).collect(),
@@ -259,9 +260,9 @@
             let (occurrence, step, index) = parts(task);
             (occurrence, step, index, runs)
         };
-        let trials = |(task, trials)| {
+        let suspect_runs = |(task, suspect_runs)| {
             let (occurrence, step, index) = parts(task);
-            (occurrence, step, index, trials)
+            (occurrence, step, index, suspect_runs)
         };
         let start = |(task, run)| {
             let (occurrence, step, index) = parts(task);
@@ -282,7 +283,7 @@
             done: progress.done.into_iter().map(step).collect(),
             failures: progress.failures.into_iter().map(of_task).collect(),
             crashes: progress.crashes.into_iter().map(crashes).collect(),
-            trials: progress.trials.into_iter().map(trials).collect(),
+            trials: progress.trials.into_iter().map(suspect_runs).collect(),
             confirmed: progress.confirmed.into_iter().map(of_task).collect(),
             announced: progress.announced.into_iter().map(start).collect(),
             saved: progress.saved.into_iter().map(saved).collect(),
--- a/src/graph/worker.rs
+++ b/src/graph/worker.rs
@@ -133,25 +133,25 @@
     pub registration: WorkerRegistration,
     /// A registration of another instance than the last one that answered, and when it came. Only an answer
     /// shows which of the two instances is the newer.
-    announced: Option<(Instant, WorkerRegistration)>,
+    pending_registration: Option<(Instant, WorkerRegistration)>,
     /// Whether it is registered.
     pub registered: bool,
     /// Until when it is expected to register again, after its registration has gone.
     pub reregistration_deadline: Option<Instant>,
     /// Earliest time at which it will be gone, where it is leaving.
-    pub leaves: Option<Instant>,
-    /// Whether it has answered under this leader's epoch.
+    pub leaves_at: Option<Instant>,
+    /// Whether it has answered a poll of this leader.
     pub claimed: bool,
     /// Whether the store names it as a worker that may run tasks.
     pub in_store: bool,
     /// The worker's clock, and the local time at which it was read.
     clock: Option<(Duration, Instant)>,
     /// The worker's clock on the newest list of runs.
-    pub snapshot: Duration,
-    /// Whether the last list was older than `snapshot`.
+    pub newest_list_clock: Duration,
+    /// Whether the last list was older than `newest_list_clock`.
     pub(crate) list_outdated: bool,
     /// Latest lease end that was sent, on the worker's clock.
-    pub lease: Option<Duration>,
+    pub sent_lease_end: Option<Duration>,
     /// Lease end that was sent with the poll in flight.
     pub(crate) offered_lease_end: Option<Duration>,
     /// Latest lease end that it has acknowledged.
@@ -166,7 +166,7 @@
     /// the end was received.
     pub withheld_end: Option<u64>,
     /// When the poll in flight was sent.
-    pub polling: Option<Instant>,
+    pub poll_sent: Option<Instant>,
     /// When the next poll is due.
     pub next_poll: Instant,
     /// When it last answered a call.
@@ -291,24 +291,24 @@
     pub fn new(registration: WorkerRegistration, now: Instant) -> Self {
         Self {
             instance_start: None,
-            leaves: registration.leaving.map(|time_left| now + time_left),
+            leaves_at: registration.leaving.map(|time_left| now + time_left),
             registration,
-            announced: None,
+            pending_registration: None,
             registered: true,
             reregistration_deadline: None,
             claimed: false,
             in_store: false,
             clock: None,
-            snapshot: Duration::ZERO,
+            newest_list_clock: Duration::ZERO,
             list_outdated: false,
-            lease: None,
+            sent_lease_end: None,
             offered_lease_end: None,
             granted_lease_end: None,
             last_end: 0,
             last_stored_end: 0,
             last_lease_expiry: 0,
             withheld_end: None,
-            polling: None,
+            poll_sent: None,
             next_poll: now,
             last_answer: None,
             last_poll_answer: None,
@@ -339,26 +339,30 @@
         let is_confirmed = self.registration.instance_start == self.instance_start
             && self.registration.address == registration.address;
         if other_instance && is_confirmed {
-            self.announced = Some((now, registration));
+            self.pending_registration = Some((now, registration));
             return;
         }
-        self.announced = None;
-        self.leaves = match registration.leaving {
-            Some(time_left) => Some(self.leaves.unwrap_or(now + time_left)),
+        self.pending_registration = None;
+        self.leaves_at = match registration.leaving {
+            Some(time_left) => Some(self.leaves_at.unwrap_or(now + time_left)),
             None => None,
         };
         self.registration = registration;
     }
 
-    /// Resolves a pending registration when a poll that was sent at `asked` is answered. A registration that
+    /// Resolves a pending registration when a poll that was sent at `poll_sent` is answered. A registration that
     /// came before the poll was sent belongs to the instance that answers, or is outdated.
-    pub(crate) fn confirm_list(&mut self, now: Instant, asked: Option<Instant>) {
-        match self.announced.take() {
+    pub(crate) fn resolve_pending_registration(
+        &mut self,
+        now: Instant,
+        poll_sent: Option<Instant>,
+    ) {
+        match self.pending_registration.take() {
             Some((_, registration)) if registration.instance_start == self.instance_start => {
                 self.update_registration(now, registration)
             }
-            Some((at, registration)) if asked.is_none_or(|asked| asked < at) => {
-                self.announced = Some((at, registration));
+            Some((at, registration)) if poll_sent.is_none_or(|poll_sent| poll_sent < at) => {
+                self.pending_registration = Some((at, registration));
             }
             _ => {}
         }
@@ -368,7 +372,7 @@
     /// labels.
     fn is_registered(&self) -> bool {
         self.registered
-            && self.announced.is_none()
+            && self.pending_registration.is_none()
             && !self.is_other_instance(self.registration.instance_start)
     }
 
@@ -376,10 +380,10 @@
     pub(crate) fn next_instance(&self, now: Instant, instance_start: InstanceStart) -> Self {
         Self {
             instance_start,
-            announced: self.announced.clone(),
+            pending_registration: self.pending_registration.clone(),
             registered: self.registered,
             reregistration_deadline: self.reregistration_deadline,
-            leaves: self.leaves,
+            leaves_at: self.leaves_at,
             claimed: self.claimed,
             in_store: self.in_store,
             ..Self::new(self.registration.clone(), now)
@@ -446,7 +450,7 @@
     pub fn extend_lease(&mut self, now: Instant, duration: Duration) -> Option<Duration> {
         let (clock, at) = self.clock?;
         let end = clock + now.saturating_duration_since(at) + duration;
-        self.lease = Some(self.lease.map_or(end, |lease| lease.max(end)));
+        self.sent_lease_end = Some(self.sent_lease_end.map_or(end, |lease| lease.max(end)));
         Some(end)
     }
 
@@ -475,16 +479,16 @@
     }
 
     /// Assumes the longest lease that an earlier leader may have granted.
-    pub fn inherit_lease(&mut self, longest: Duration) {
+    pub fn inherit_lease(&mut self, max_lease: Duration) {
         if let Some((clock, _)) = self.clock {
-            let end = clock + longest;
-            self.lease = Some(self.lease.map_or(end, |lease| lease.max(end)));
+            let end = clock + max_lease;
+            self.sent_lease_end = Some(self.sent_lease_end.map_or(end, |lease| lease.max(end)));
         }
     }
 
     /// Whether the lease has certainly expired, so that nothing that was started there still runs.
     pub fn is_lease_expired(&self, now: Instant) -> bool {
-        match (self.lease, self.clock_lower_bound(now)) {
+        match (self.sent_lease_end, self.clock_lower_bound(now)) {
             (Some(lease), Some(clock)) => clock > lease + LEASE_EXPIRY_MARGIN,
             _ => false,
         }
@@ -496,9 +500,9 @@
         &self,
         run: &WorkerRun,
         now: Instant,
-        longest: Duration,
+        max_lease: Duration,
     ) -> bool {
-        let longest_hold = longest * 1_000 / (1_000 - SLOW_CLOCK_PERMILLE) + LEASE_EXPIRY_MARGIN;
+        let longest_hold = max_lease * 1_000 / (1_000 - SLOW_CLOCK_PERMILLE) + LEASE_EXPIRY_MARGIN;
         run.taken_by_newer_instance
             .is_none_or(|answered| now.saturating_duration_since(answered) >= longest_hold)
     }
@@ -509,9 +513,9 @@
             .map_or(self.last_stored_end, |first| self.last_stored_end.min(first.saturating_sub(1)))
     }
 
-    /// Withholds the acknowledgement of an end whose task was started again, unless a lease has expired since
-    /// while something was running. Only that is recorded on the worker; without it the end stays on the
-    /// worker's list for good.
+    /// Withholds the acknowledgement of an end whose task was started again, unless the worker has since listed
+    /// a run that ended with an expired lease. A lease that expires while nothing runs leaves no entry on the
+    /// list, and without an entry the end stays on the list forever.
     pub fn withhold_ack(&mut self, number: u64) {
         if self.last_lease_expiry < number {
             self.withheld_end = Some(self.withheld_end.map_or(number, |first| first.min(number)));
@@ -530,17 +534,17 @@
 
     /// Whether it may get new work, leaving its free capacity aside. A worker that left its last call
     /// unanswered may be cut off: it is polled again at once, and a start that does not reach it would block
-    /// its task for a whole lease.
-    pub fn accepts_work(&self, now: Instant, silence: Duration) -> bool {
+    /// its task until the lease expires.
+    pub fn accepts_work(&self, now: Instant, max_silence: Duration) -> bool {
         self.is_registered()
-            && self.leaves.is_none()
+            && self.leaves_at.is_none()
             && self.claimed
             && self.in_store
             && !self.has_unknown_demand
             && self.misses == 0
             && self.last_poll_answer.is_some()
             && self.excluded_until.is_none_or(|until| until <= now)
-            && self.last_answer.is_some_and(|at| now.saturating_duration_since(at) < silence)
+            && self.last_answer.is_some_and(|at| now.saturating_duration_since(at) < max_silence)
     }
 
     /// Its current health rank. Where an end is withheld, the ends after it are not acknowledged either, and
