--- a/src/graph/worker.rs
+++ b/src/graph/worker.rs
@@ -150,8 +150,9 @@
     pub newest_list_clock: Duration,
     /// Whether the last list was older than `newest_list_clock`.
     pub(crate) list_outdated: bool,
-    /// Latest lease end that was sent, on the worker's clock.
-    pub sent_lease_end: Option<Duration>,
+    /// Latest time, on the worker's clock, at which its lease may end: as sent by this leader, or as an earlier
+    /// leader may have granted it.
+    pub latest_lease_end: Option<Duration>,
     /// Lease end that was sent with the poll in flight.
     pub(crate) offered_lease_end: Option<Duration>,
     /// Latest lease end that it has acknowledged.
@@ -301,7 +302,7 @@
             clock: None,
             newest_list_clock: Duration::ZERO,
             list_outdated: false,
-            sent_lease_end: None,
+            latest_lease_end: None,
             offered_lease_end: None,
             granted_lease_end: None,
             last_end: 0,
@@ -350,8 +351,8 @@
         self.registration = registration;
     }
 
-    /// Resolves a pending registration when a poll that was sent at `poll_sent` is answered. A registration that
-    /// came before the poll was sent belongs to the instance that answers, or is outdated.
+    /// Resolves a pending registration when a poll that was sent at `poll_sent` is answered. A registration
+    /// that came before the poll was sent belongs to the instance that answers, or is outdated.
     pub(crate) fn resolve_pending_registration(
         &mut self,
         now: Instant,
@@ -450,7 +451,7 @@
     pub fn extend_lease(&mut self, now: Instant, duration: Duration) -> Option<Duration> {
         let (clock, at) = self.clock?;
         let end = clock + now.saturating_duration_since(at) + duration;
-        self.sent_lease_end = Some(self.sent_lease_end.map_or(end, |lease| lease.max(end)));
+        self.latest_lease_end = Some(self.latest_lease_end.map_or(end, |lease| lease.max(end)));
         Some(end)
     }
 
@@ -482,13 +483,13 @@
     pub fn inherit_lease(&mut self, max_lease: Duration) {
         if let Some((clock, _)) = self.clock {
             let end = clock + max_lease;
-            self.sent_lease_end = Some(self.sent_lease_end.map_or(end, |lease| lease.max(end)));
+            self.latest_lease_end = Some(self.latest_lease_end.map_or(end, |lease| lease.max(end)));
         }
     }
 
     /// Whether the lease has certainly expired, so that nothing that was started there still runs.
     pub fn is_lease_expired(&self, now: Instant) -> bool {
-        match (self.sent_lease_end, self.clock_lower_bound(now)) {
+        match (self.latest_lease_end, self.clock_lower_bound(now)) {
             (Some(lease), Some(clock)) => clock > lease + LEASE_EXPIRY_MARGIN,
             _ => false,
         }
