--- a/src/graph/placer/advice_requests.rs
+++ b/src/graph/placer/advice_requests.rs
@@ -74,7 +74,7 @@
         };
         let key = (step.job.spec.id.clone(), step.key);
         let enough = self.plan.advice_requests.len() >= self.requests_left;
-        if enough || !self.view.advice.may_ask(&key, self.view.now) {
+        if enough || !self.view.advice.may_request(&key, self.view.now) {
             return;
         }
         let NamedWorkers { workers, useful } = self.workers_to_name(step, &rule, missing);
@@ -178,10 +178,10 @@
         candidates
     }
 
-    /// Counts capacity that preemption can free, for use when there is no free capacity: a step
-    /// that asked only about workers with free capacity had 16 of 40 lasting tasks run. Stops after
+    /// Counts capacity that preemption can free, for use when there is no free capacity: when a
+    /// step asked only about workers with free capacity, 16 of its 40 lasting tasks ran. Stops after
     /// as many workers as one call can name: checks of all 350 workers for each request slowed the
-    /// machine of the leader so much that it could not lead.
+    /// machine of the leader so much that it could not keep its leadership.
     fn note_preemptable_capacity(
         &self,
         step: &OpenStep<'t>,
