--- a/tests/decisions/random.rs
+++ b/tests/decisions/random.rs
@@ -229,7 +229,7 @@
     }
 }
 
-/// Tells whether a job waits for a valid reason: the usage and the floors of the other failure domains
+/// Returns whether a job waits for a valid reason: the usage and the floors of the other failure domains
 /// leave less of the quota than the job needs at once. A part that is held beyond usage and floor is
 /// not a valid reason.
 fn waits_for_quota(world: &World, view: &JobView) -> bool {
--- a/tests/decisions/scenarios.rs
+++ b/tests/decisions/scenarios.rs
@@ -106,7 +106,7 @@
         Ok(String::new())
     }
 
-    /// `kill a0`, `start a0` or `start all`, `pause a0`, `wake a0`, `leave a0`
+    /// `kill a0`, `start a0` or `start all`, `pause a0`, `resume a0`, `leave a0`
     fn change_entry(&mut self, command: &Command) -> Outcome {
         let mut args = command.consume_args();
         let name = args.next_pos().ok_or("an entry is missing")?;
@@ -123,7 +123,7 @@
             "kill" => world.kill(&entry),
             "start" => world.start(&entry),
             "pause" => world.pause(&entry),
-            "wake" => world.resume(&entry),
+            "resume" => world.resume(&entry),
             _ => world.handle_event(&entry, DomainEvent::Leave),
         }
         Ok(String::new())
@@ -429,7 +429,7 @@
         }
         Ok(counts
             .iter()
-            .map(|(task, count)| format!("task {task} begun {count} times\n"))
+            .map(|(task, count)| format!("task {task} started {count} times\n"))
             .collect())
     }
 }
@@ -535,7 +535,7 @@
         match command.name.as_str() {
             "cluster" => self.cluster(command),
             "run" => self.advance_time(command),
-            "kill" | "start" | "pause" | "wake" | "leave" => self.change_entry(command),
+            "kill" | "start" | "pause" | "resume" | "leave" => self.change_entry(command),
             "store" => self.store(command),
             "cut" => self.cut(command),
             "heal" => self.heal(),
--- a/tests/decisions/world.rs
+++ b/tests/decisions/world.rs
@@ -486,7 +486,7 @@
         id
     }
 
-    /// Makes a call and waits for its answer for at most `time`.
+    /// Makes a call and waits up to `time` for its answer.
     pub(crate) fn ask(
         &mut self,
         entry: &EntryId,
--- a/tests/graph/advice.rs
+++ b/tests/graph/advice.rs
@@ -8,8 +8,9 @@
 
 use crate::sim_cluster::queue_rule;
 
-/// Requests advice about workers, and allows those whose number is divisible by three.
-fn ask(advice_table: &mut AdviceTable, now: Instant, workers: &[WorkerId]) {
+/// Requests advice about workers and answers the call: a worker is allowed if its number is
+/// divisible by three.
+fn request_advice(advice_table: &mut AdviceTable, now: Instant, workers: &[WorkerId]) {
     let queue = queue_rule("asked", 1, true);
     let request = AdviceRequest {
         key: ("a".into(), StepKey { occurrence: 0, step: 0 }),
@@ -23,10 +24,10 @@
     advice_table.answered(now, call.id, Some(allowed), Duration::ZERO);
 }
 
-// The share of workers that a queue's steps are allowed decides how many workers a call names. It
-// was also learned from renewals, in which nearly all workers are allowed again: with a third
-// allowed, the learned share was nine tenths, and calls named a third of the workers that were
-// needed.
+// The number of workers that an advice call names is computed from the share of workers that was
+// allowed before. Renewals, in which nearly all workers are allowed again, were counted as well:
+// with a third allowed, the learned share was nine tenths, and calls named a third of the workers
+// that were needed.
 #[gtest]
 fn the_share_of_allowed_workers_is_not_learned_from_renewals() {
     let now = Instant::now();
@@ -34,11 +35,11 @@
     let mut advice_table = AdviceTable::default();
     advice_table.set_entries([EntryId::from("e0")].into());
     for chunk in workers.chunks(3) {
-        ask(&mut advice_table, now, chunk);
+        request_advice(&mut advice_table, now, chunk);
     }
     let allowed: Vec<WorkerId> = workers.iter().step_by(3).cloned().collect();
     for _ in 0..30 {
-        ask(&mut advice_table, now, &allowed);
+        request_advice(&mut advice_table, now, &allowed);
     }
     expect_that!(advice_table.share(&"asked".into()), lt(0.45));
 }
--- a/tests/graph/cancellation.rs
+++ b/tests/graph/cancellation.rs
@@ -23,7 +23,7 @@
     Duration::from_millis(millis)
 }
 
-/// Delays the next start; its retries do not arrive.
+/// Delays the next start; its retries are lost.
 fn delay_start(cluster: &mut SimCluster, delay: Duration) {
     cluster.planned_faults.starts = VecDeque::from([Some(delay), None, None, None]);
 }
@@ -44,7 +44,7 @@
     cluster.workers.values_mut().next().unwrap()
 }
 
-/// Adds a run that no leader knows to the only worker.
+/// Adds a run to the only worker that no leader has a record of.
 fn add_unknown_run(cluster: &mut SimCluster, task: &str, run: RunNumber) {
     let unknown_run = ModelRun {
         run,
@@ -52,7 +52,7 @@
         started_at: cluster.now,
         declared_run_time: seconds(600),
         fails: false,
-        stops: None,
+        stop_time: None,
     };
     only_worker(cluster).runs.insert(task.parse().unwrap(), unknown_run);
 }
@@ -301,8 +301,8 @@
 }
 
 // The stop of a cancelled job's task was not answered. The task continued, and each report of its
-// worker showed more progress. Where reports come often, because other tasks end there, each of
-// them restarted the delay before the stop is sent again, so it was never sent again.
+// worker showed more progress. Each report also restarted the delay after which the stop is sent
+// again. Where other tasks often ended, reports came so often that the stop was never sent again.
 #[gtest]
 fn a_lost_stop_is_sent_again_while_its_run_makes_progress() {
     let mut cluster = SimCluster::new(54, 1);
@@ -318,8 +318,9 @@
     expect_that!(count_runs(&cluster, "a"), eq(0));
 }
 
-// A worker held a run of a job that its leader no longer knew. The run was stopped, but unknown
-// runs take unknown capacity, so the worker was given no tasks until the leader was replaced.
+// A worker held a run of a job that its leader no longer had a record of. The run was stopped, but
+// as the capacity that such runs use is unknown, the worker was given no tasks until the leader was
+// replaced.
 #[gtest]
 fn a_worker_with_a_run_of_a_forgotten_job_gets_tasks_once_that_is_stopped() {
     let mut cluster = SimCluster::new(55, 1);
--- a/tests/graph/cases.rs
+++ b/tests/graph/cases.rs
@@ -1,4 +1,4 @@
-//! Single cases, each of which failed once or covers one kind of fault.
+//! Regression tests of single failures, and tests of one kind of fault each.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 }
 
 #[gtest]
-fn a_job_that_failed_for_good_is_not_started_again() {
+fn a_job_is_not_started_again_after_its_last_attempt_failed() {
     let mut cluster = SimCluster::new(2, 4);
     cluster.run(seconds(1));
     cluster.failing_jobs.insert("a".into());
@@ -113,7 +113,7 @@
 }
 
 #[gtest]
-fn a_job_refused_by_the_store_for_long_is_rejected_for_good() {
+fn a_job_refused_by_the_store_for_long_is_rejected_and_not_started() {
     let mut cluster = SimCluster::new(8, 4);
     cluster.run(seconds(1));
     cluster.store.up = false;
--- a/tests/graph/combined_faults.rs
+++ b/tests/graph/combined_faults.rs
@@ -45,8 +45,8 @@
 }
 
 // In an outage of the store a job was reported as completed; then the worker that held its end and
-// the leader were lost before the store was back. The next leader knew of no end and ran the task
-// again.
+// the leader were lost before the store was back. The next leader had no record of the end and ran
+// the task again.
 #[gtest]
 fn a_job_that_was_reported_as_completed_is_not_run_again() {
     let mut cluster = SimCluster::new(43, 2);
--- a/tests/graph/crash_checker.rs
+++ b/tests/graph/crash_checker.rs
@@ -6,9 +6,9 @@
 
 use crate::model_worker::ModelWorker;
 
-/// Number of workers that may crash under a task before its starts are counted.
+/// Number of crashed workers from which on the starts of a task are counted.
 const CRASH_LIMIT: usize = 3;
-/// Number of counted starts of such a task, by a leader in contact, that is an error.
+/// Number of counted starts at which the check fails. Only starts by a leader in contact count.
 const START_LIMIT: u32 = 3;
 /// Number of workers that must have crashed under a task before its job may fail for it.
 const MIN_CRASHES_TO_FAIL: usize = 2;
@@ -74,7 +74,7 @@
         let failures = by_failures.max(by_gangs);
         assert!(
             by_crashes >= MIN_CRASHES_TO_FAIL || failures >= record.rule.max_attempts as usize,
-            "{job} is shown as failed after {failures} failed runs and {by_crashes} crashes"
+            "{job} is stored as failed after {failures} failed runs and {by_crashes} crashes"
         );
     }
 }
--- a/tests/graph/lasting.rs
+++ b/tests/graph/lasting.rs
@@ -53,7 +53,7 @@
     expect_that!(count_runs(&cluster, "a"), eq(52));
 }
 
-// Two lasting tasks of two jobs did not run for 25 s after their worker was lost for good, with
+// Two lasting tasks of two jobs did not run for 25 s after their worker was lost permanently, with
 // free capacity for them. Each poll of the worker counted as an extension of its lease, answered or
 // not, so the lease never ended and the leader kept both tasks assigned to it until its own process
 // was stopped. The next leader started them 9 ms apart, one lease after it had taken over.
--- a/tests/graph/links.rs
+++ b/tests/graph/links.rs
@@ -71,36 +71,36 @@
 // On a congested link each answer takes 400 ms. A timeout of 150 ms gave up all of them.
 #[gtest]
 fn the_answer_timeout_adapts_to_a_slow_link() {
-    let (mut times, mut now) = (AnswerTimeout::default(), Instant::now());
+    let (mut timeout, mut now) = (AnswerTimeout::default(), Instant::now());
     for _ in 0..200 {
-        times.answered(Duration::from_millis(3));
+        timeout.answered(Duration::from_millis(3));
     }
-    expect_that!(times.wait(), eq(Duration::from_millis(150)));
-    let took = Duration::from_millis(400);
+    expect_that!(timeout.wait(), eq(Duration::from_millis(150)));
+    let answer_time = Duration::from_millis(400);
     let mut given_up = 0;
     for _ in 0..100 {
-        now += took;
-        match times.wait() > took {
-            true => times.answered(took),
+        now += answer_time;
+        match timeout.wait() > answer_time {
+            true => timeout.answered(answer_time),
             false => {
                 given_up += 1;
-                times.unanswered(now);
+                timeout.unanswered(now);
             }
         }
     }
     expect_that!(given_up, le(4));
-    expect_that!(times.wait(), le(Duration::from_millis(1_500)));
+    expect_that!(timeout.wait(), le(Duration::from_millis(1_500)));
     // Many unanswered calls that were sent together count as one.
-    let before = times.wait();
+    let before = timeout.wait();
     for _ in 0..50 {
-        times.unanswered(now);
+        timeout.unanswered(now);
     }
-    expect_that!(times.wait(), le(before * 2));
+    expect_that!(timeout.wait(), le(before * 2));
     // The timeout falls again once the link is fast.
     for _ in 0..60 {
-        times.answered(Duration::from_millis(3));
+        timeout.answered(Duration::from_millis(3));
     }
-    expect_that!(times.wait(), le(Duration::from_millis(200)));
+    expect_that!(timeout.wait(), le(Duration::from_millis(200)));
 }
 
 // A link carries 100 starts a second: what is sent beyond that queues up in it, ahead of renewals
@@ -109,9 +109,9 @@
 fn the_send_window_adapts_to_the_capacity_of_a_link() {
     let (mut window, mut now) = (SendWindow::default(), Instant::now());
     for _ in 0..2_000 {
-        let queue = Duration::from_millis(10) * u32::try_from(window.limit()).unwrap();
+        let queue_delay = Duration::from_millis(10) * u32::try_from(window.limit()).unwrap();
         now += Duration::from_millis(10);
-        window.answered(now, queue);
+        window.answered(now, queue_delay);
     }
     expect_that!(window.limit(), all![ge(8), le(32)]);
     // Five thousand timely answers open the window for the widest steps.
@@ -127,7 +127,8 @@
 }
 
 // A leader that starts a task again after losing contact with its run stores the first run that
-// counts. Its successor took that for a started task: of eight waiting jobs two were counted.
+// counts. Its successor treated that record as a started task: of eight waiting jobs, two were
+// counted.
 #[gtest]
 fn a_waiting_job_is_counted_after_two_takeovers() {
     let mut cluster = SimCluster::new(53, 1);
--- a/tests/graph/model_worker.rs
+++ b/tests/graph/model_worker.rs
@@ -10,8 +10,8 @@
 };
 use tokio::time::Instant;
 
-/// Time during which a reduced capacity is not enforced yet: three seconds in which a leader in
-/// contact learns of it, and one heartbeat.
+/// Time during which a reduced capacity is not enforced yet: one heartbeat until it is reported, and
+/// three seconds until a leader in contact must apply it.
 const SHRINK_GRACE: Duration = Duration::from_millis(4_500);
 
 /// A run that a worker holds.
@@ -23,7 +23,7 @@
     pub(crate) declared_run_time: Duration,
     pub(crate) fails: bool,
     /// When a stop takes effect.
-    pub(crate) stops: Option<Instant>,
+    pub(crate) stop_time: Option<Instant>,
 }
 
 /// State and faults of a worker.
@@ -103,7 +103,7 @@
         needs.fold(ResourceVector::default(), |sum, need| sum.saturating_add(&need))
     }
 
-    /// Changes the capacity from now on; the next heartbeat reports it.
+    /// Changes the capacity as of `now`; the next heartbeat reports it.
     pub(crate) fn resize(&mut self, now: Instant, capacity: ResourceVector) {
         self.registration.capacity = capacity;
         self.capacities.push((now, capacity));
@@ -132,7 +132,7 @@
             let done = now >= run.started_at + run.declared_run_time * self.slowdown;
             let kind = match () {
                 () if expired => EndKind::Lapsed,
-                () if run.stops.is_some_and(|stops| stops <= now) => EndKind::Stopped,
+                () if run.stop_time.is_some_and(|time| time <= now) => EndKind::Stopped,
                 () if done && run.fails => EndKind::Failed,
                 () if done => EndKind::Done,
                 () => continue,
--- a/tests/graph/random.rs
+++ b/tests/graph/random.rs
@@ -27,8 +27,8 @@
 const SHORT_DOMAIN_SEEDS: std::ops::Range<u64> = DOMAIN_SEEDS..DOMAIN_SEEDS + 12;
 /// Seeds from here on have tasks that crash their workers, and workers whose capacity changes.
 const CRASH_SEEDS: u64 = 20_000_000;
-/// Seed of this kind that has its own test: crashes that no leader saw.
-const UNSEEN_CRASHES_SEED: u64 = CRASH_SEEDS + 11;
+/// Seed of this kind that has its own test: crashes that no leader detected.
+const UNDETECTED_CRASHES_SEED: u64 = CRASH_SEEDS + 11;
 /// Seeds of this kind that `cargo test` runs.
 const SHORT_CRASHES: std::ops::Range<u64> = CRASH_SEEDS..CRASH_SEEDS + 16;
 /// Offset of seeds whose workers restart under their ids; the rest of the seed selects its kind.
@@ -185,7 +185,7 @@
     }
 
     /// Elects a new leader. Elections need the store, so with tasks that crash their workers it is
-    /// up by then: otherwise each leader would count the crashes anew without having stored them.
+    /// up by then: otherwise each leader would count the crashes from zero and store none of them.
     fn elect(&mut self) {
         self.cluster.store.up |= self.has_crashes;
         self.cluster.elect();
@@ -254,7 +254,7 @@
 }
 
 #[gtest]
-fn random_runs_keep_every_promise() {
+fn random_runs_keep_all_invariants() {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     if let Some(seed) = number("KELPLINK_RANDOM_SEED") {
         run(seed);
@@ -276,7 +276,7 @@
 }
 
 #[gtest]
-fn random_runs_with_workers_that_restart_under_their_ids_keep_every_promise() {
+fn random_runs_with_workers_that_restart_under_their_ids_keep_all_invariants() {
     for kind in [0, DOMAIN_SEEDS, CRASH_SEEDS] {
         let first = RESTART_SEEDS + kind;
         (first..first + SHORT_RESTARTS).for_each(|seed| {
@@ -286,8 +286,8 @@
 }
 
 #[gtest]
-fn random_runs_with_tasks_that_crash_their_workers_keep_every_promise() {
-    SHORT_CRASHES.filter(|seed| *seed != UNSEEN_CRASHES_SEED).for_each(|seed| {
+fn random_runs_with_tasks_that_crash_their_workers_keep_all_invariants() {
+    SHORT_CRASHES.filter(|seed| *seed != UNDETECTED_CRASHES_SEED).for_each(|seed| {
         run(seed);
     });
 }
@@ -298,8 +298,8 @@
 // starts of tasks that may have run there when it sends them: of 300 such seeds 2 fail instead of
 // 8.
 #[gtest]
-fn seed_20000011_counts_crashes_that_no_leader_saw() {
-    run(UNSEEN_CRASHES_SEED);
+fn seed_20000011_counts_crashes_that_no_leader_detected() {
+    run(UNDETECTED_CRASHES_SEED);
 }
 
 // A leader that recorded such a start was lost before the store had the record. Since late jobs are
--- a/tests/graph/random_cancellation.rs
+++ b/tests/graph/random_cancellation.rs
@@ -166,7 +166,7 @@
 }
 
 #[gtest]
-fn cancelled_jobs_are_stopped_whatever_happens() {
+fn cancelled_jobs_are_stopped_under_all_faults() {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let (first, count) = match number("KELPLINK_RANDOM_SEED") {
         Some(seed) => (seed, 1),
@@ -176,7 +176,7 @@
         ),
     };
     let longest = (first..first + count).map(run).max().unwrap_or_default();
-    println!("{count} seeds; a run of an ended job continued for {longest:?} at most");
+    println!("{count} seeds; longest time that a run of an ended job continued: {longest:?}");
 }
 
 #[gtest]
--- a/tests/graph/random_shards.rs
+++ b/tests/graph/random_shards.rs
@@ -1,4 +1,4 @@
-//! Seeded random runs over several shards: leaders that are killed or succeeded, disconnected
+//! Seeded random runs over several shards: leaders that are killed or replaced, disconnected
 //! workers, late commands, outages of the store, jobs that several shards run, and jobs that are
 //! submitted in two of them.
 //!
@@ -72,7 +72,7 @@
         let id = format!("job{}", self.calls.len());
         let steps = match self.pick(4) {
             0 => {
-                // At most as many tasks as the workers can hold beside other jobs.
+                // Few enough tasks that the workers can run them beside other jobs.
                 let count = self.pick(4) + 1;
                 self.lasting.insert(id.clone(), count);
                 vec![StepSpec { lasting: true, ..step(count, 1, 600_000) }]
@@ -194,7 +194,7 @@
 }
 
 #[gtest]
-fn random_runs_over_several_shards_keep_every_promise() {
+fn random_runs_over_several_shards_keep_all_invariants() {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     if let Some(seed) = number("KELPLINK_SHARD_SEED") {
         run(seed);
@@ -216,7 +216,7 @@
 }
 
 #[gtest]
-fn random_runs_over_shards_whose_workers_restart_under_their_ids_keep_every_promise() {
+fn random_runs_over_shards_whose_workers_restart_under_their_ids_keep_all_invariants() {
     SHORT_RESTARTS.for_each(|seed| {
         run(seed);
     });
--- a/tests/graph/restarts.rs
+++ b/tests/graph/restarts.rs
@@ -1,4 +1,5 @@
-//! Workers that restart under their ids: their end numbers, clocks and leases begin anew.
+//! Workers that restart under their ids: their end numbers, clocks and leases start from
+//! their initial values.
 
 use std::time::Duration;
 
@@ -80,8 +81,9 @@
     }
 }
 
-// By its clock, the reports of the new instance were treated as older than those of the previous
-// one: lasting tasks did not run until the new clock had passed the old one.
+// The clock of the new instance starts at its initial value, so its reports were treated as older
+// than those of the previous one: lasting tasks did not run until the new clock had passed the old
+// one.
 #[gtest]
 fn lasting_tasks_run_again_after_their_worker_has_restarted() {
     let mut cluster = start_cluster(63, 3);
@@ -109,7 +111,7 @@
 
 // A start was in transit, unanswered, while its worker restarted. The new instance would still
 // accept it, as its clock is far below the time until which the start is valid. The task must not
-// start elsewhere before the new instance has refused it for good.
+// start elsewhere before the new instance is certain to refuse it.
 #[gtest]
 fn a_start_that_a_later_instance_may_still_accept_does_not_run_elsewhere() {
     for late in [600, 900, 1_500, 3_000, 6_000] {
--- a/tests/graph/shards.rs
+++ b/tests/graph/shards.rs
@@ -50,8 +50,8 @@
     expect_that!(names, eq(&vec!["d0", "d1", "d2", "d3", "d4"]));
     expect_that!(&*plan.shard_of(&"d3".into(), &"r1-7".into()), eq("d3"));
     // A domain that is not in the plan belongs to one of its shards.
-    let late_domain = plan.shard_of(&"d9".into(), &"r1-7".into());
-    expect_true!(plan.shards().contains(&late_domain));
+    let unplanned_domain = plan.shard_of(&"d9".into(), &"r1-7".into());
+    expect_true!(plan.shards().contains(&unplanned_domain));
 }
 
 // With two services and two kinds of workers, only five workers of a shard of 117 fit a gang with
@@ -265,10 +265,10 @@
     expect_that!(cluster.answers.get(&call), some(eq(&GraphAnswer::Accepted)));
 }
 
-// A leader that has been succeeded without knowing it sees the same notices as its successor. Only
+// A deposed leader that has not detected its successor reads the same notices as that successor. Only
 // a share that the store accepts from its leader may run.
 #[gtest]
-fn a_succeeded_leader_runs_no_share() {
+fn a_deposed_leader_runs_no_share() {
     let mut cluster = SimCluster::sharded(45, 12, 2);
     let all = shards(&cluster);
     cluster.run(seconds(1));
--- a/tests/graph/sim_cluster.rs
+++ b/tests/graph/sim_cluster.rs
@@ -855,7 +855,7 @@
                                 started_at: now,
                                 declared_run_time: step.estimate,
                                 fails: fails || worker.fails_runs,
-                                stops: None,
+                                stop_time: None,
                             };
                             worker.runs.insert(task.clone(), new_run);
                             let latest = self.latest_runs.entry(task.clone()).or_default();
@@ -897,7 +897,7 @@
                 Ok(()) => {
                     if let Some(entry) = worker.runs.get_mut(&task).filter(|entry| entry.run <= run)
                     {
-                        entry.stops = Some(now + Duration::from_millis(200));
+                        entry.stop_time = Some(now + Duration::from_millis(200));
                     }
                     worker.close(&task, run);
                     Ok(worker.clock(now))
@@ -1009,11 +1009,11 @@
     /// Checks that no run of a job with a stored verdict continues at a reachable worker, whichever
     /// leader started it.
     fn check_stopped(&mut self) {
-        let leader_shards =
+        let all_shards_led =
             self.store.shards.values().all(|shard| self.leaders.contains_key(&shard.epoch));
-        let calm = leader_shards && self.store.up && self.faults.none();
+        let fault_free = all_shards_led && self.store.up && self.faults.none();
         for worker in self.workers.values_mut().filter(|worker| worker.up) {
-            if !(calm && worker.connected) {
+            if !(fault_free && worker.connected) {
                 worker.fault_free_since = self.now;
             }
             for (task, run) in &worker.runs {
@@ -1024,11 +1024,7 @@
                 let active_time = self.now.saturating_duration_since(since);
                 let id = &worker.registration.id;
                 self.longest_stop = self.longest_stop.max(active_time);
-                assert!(
-                    active_time <= MAX_STOP_TIME,
-                    "{task} run {} still goes on at {id}",
-                    run.run
-                );
+                assert!(active_time <= MAX_STOP_TIME, "{task} run {} continues at {id}", run.run);
             }
         }
     }
@@ -1053,10 +1049,11 @@
                     && instance.is_some_and(|instance| instance.claimed && instance.registered)
             };
             for worker in self.workers.values().filter(claimed) {
-                let fault_free = self.fault_free_since.max(worker.fault_free_since).max(first);
+                let fault_free_since =
+                    self.fault_free_since.max(worker.fault_free_since).max(first);
                 for (task, run) in &worker.runs {
                     let fault_free =
-                        self.now.saturating_duration_since(fault_free.max(run.started_at));
+                        self.now.saturating_duration_since(fault_free_since.max(run.started_at));
                     self.waiting_checker.check_running(leader, task, fault_free);
                 }
             }
@@ -1087,7 +1084,7 @@
             let count = worker.runs.keys().filter(same_step).count();
             assert!(
                 count <= limit as usize,
-                "{count} tasks of the step of {task} run on {id}, at most {limit} may"
+                "{count} tasks of the step of {task} run on {id}, more than the limit of {limit}"
             );
         }
         let holders =
--- a/tests/graph/sim_cluster/worker_faults.rs
+++ b/tests/graph/sim_cluster/worker_faults.rs
@@ -79,7 +79,8 @@
         true
     }
 
-    /// Restarts a worker under its id without any state: its clock and its end numbers begin anew.
+    /// Restarts a worker under its id without any state: its clock and its end numbers start from
+    /// their initial values.
     pub(super) fn restart(&mut self, id: &WorkerId) {
         let (now, instance_start) = (self.now, Some(self.unix()));
         let rate = self.restart_rng.as_mut().map_or(1_000, |rng| rng.random_range(980..=1_000));
--- a/tests/graph/starvation.rs
+++ b/tests/graph/starvation.rs
@@ -1,4 +1,5 @@
-//! Tasks that wait forever because what they wait for is not considered again.
+//! Tasks must not wait forever: cases in which a leader stopped retrying a placement, a start or an
+//! advice request.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -137,7 +138,7 @@
 }
 
 // A worker became unreachable just before a start. Each of the four sends of the start counted as
-// an extension of its lease, as polls once had.
+// an extension of the worker's lease, although none was answered. Polls had the same fault.
 #[gtest]
 fn resending_an_unanswered_start_extends_no_lease() {
     let mut cluster = SimCluster::new(58, 4);
@@ -149,7 +150,7 @@
 }
 
 // The rack with a job's data had free capacity on one worker only, on which all runs failed. The
-// affinity outweighed the failures: the job failed for good within a second, with seven healthy
+// affinity outweighed the failures: the job failed permanently within a second, with seven healthy
 // workers idle.
 #[gtest]
 fn a_task_that_failed_near_its_data_is_tried_elsewhere() {
--- a/tests/graph/takeover.rs
+++ b/tests/graph/takeover.rs
@@ -66,9 +66,9 @@
 const QUEUED: (Option<GraphState>, usize) = (Some(GraphState::Queued), 1);
 const RUNNING: (Option<GraphState>, usize) = (Some(GraphState::Running), 0);
 
-// Five jobs had been accepted, no worker had started a task of theirs, and a caller was told that
-// none was pending. Their starts were stored as suspect runs, and the next leader took these for
-// started tasks.
+// Five jobs had been accepted and no worker had started any of their tasks, but the answer to a
+// caller was that no job was pending. Their starts were stored as suspect runs, and the next leader
+// treated these as started tasks.
 #[gtest]
 fn a_job_whose_starts_were_never_carried_out_is_counted_after_a_takeover() {
     let mut cluster = claimed_cluster(71, 2);
@@ -276,8 +276,8 @@
     expect_that!(shown_state(&mut cluster), eq(RUNNING));
 }
 
-// A run that its worker has long survived is given up with the worker's lease, and the leader
-// stores the first run that counts.
+// A run that started long before its worker becomes silent is given up when the worker's lease
+// expires, and the leader stores the first run that counts.
 #[gtest]
 fn a_job_whose_started_run_was_given_up_is_running_after_a_takeover() {
     let mut cluster = claimed_cluster(90, 2);
--- a/tests/graph/unread_registrations.rs
+++ b/tests/graph/unread_registrations.rs
@@ -73,8 +73,8 @@
     cluster.answers.get(&call).cloned()
 }
 
-// A leader that had just taken over knew of no capacity at all: for a minute gangs were rejected as
-// too large for any shard.
+// A leader that had just taken over had a record of no worker and so of no capacity: for a minute
+// gangs were rejected as too large for any shard.
 #[gtest]
 fn a_gang_is_not_rejected_before_the_registrations_are_read() {
     let (mut cluster, shard) = sharded(48, 9);
@@ -174,7 +174,7 @@
     expect_that!(count_runs(&cluster, "a"), eq(40));
 }
 
-// A worker whose registration stays away is lost.
+// A worker that does not register again is lost.
 #[gtest]
 fn workers_that_do_not_register_again_stop_counting() {
     let (mut cluster, shard) = sharded(54, 9);
--- a/tests/platform/cluster.rs
+++ b/tests/platform/cluster.rs
@@ -62,7 +62,7 @@
         Self::start_in(test, entries, workers, queues, &["a"]).await
     }
 
-    /// Does the same, with entries and workers distributed over failure domains in turn.
+    /// Like [`Cluster::start`], with entries and workers distributed over failure domains in turn.
     pub(crate) async fn start_in(
         test: u8,
         entries: u8,
@@ -73,7 +73,7 @@
         Self::start_on(test, entries, workers, queues, domains, false).await
     }
 
-    /// Does the same in one failure domain. Each entry has its own endpoint of the store, with the
+    /// Like [`Cluster::start`], with an endpoint of the store for each entry. The endpoint has the
     /// entry's number.
     pub(crate) async fn start_with_own_endpoints(
         test: u8,
--- a/tests/platform/deposed_leader.rs
+++ b/tests/platform/deposed_leader.rs
@@ -1,4 +1,4 @@
-//! Answers of an entry whose leadership has ended without its having noticed.
+//! Answers of an entry that has not detected the end of its leadership.
 
 use googletest::prelude::*;
 use hyper::{Method, StatusCode};
@@ -73,7 +73,7 @@
     wait_for("a job to be accepted", accepted).await;
 }
 
-// Guards against wrong answers of a deposed leader: it went on leading until a worker refused its epoch,
+// Guards against wrong answers of a deposed leader: it acted as leader until a worker refused its epoch,
 // answered 410 for jobs of its successor and returned a count without them.
 #[gtest]
 #[tokio::test]
--- a/tests/platform/inputs.rs
+++ b/tests/platform/inputs.rs
@@ -312,15 +312,15 @@
         row("a short id", post("0205", &good), 400, Open),
         row("a long id", post("00000000000000206", &good), 400, Open),
         row("an id that is not hexadecimal", post("000000000000020g", &good), 400, Open),
-        row("an id with a step's number", post("0000000000207.0", &good), 400, Open),
+        row("an id with a step number appended", post("0000000000207.0", &good), 400, Open),
         row("an encoded id", post("%300000000000000207", &good), 400, Open),
         row(
-            "an id with a field behind it",
+            "an id with a query field appended",
             bodiless_request("GET", "/now/0000000000000101&allow_stale=1"),
             410,
             Open,
         ),
-        row("a state of an invalid id", bodiless_request("GET", "/now/a/b/%2e%2e"), 410, Open),
+        row("the state of an invalid id", bodiless_request("GET", "/now/a/b/%2e%2e"), 410, Open),
         row("cancelling an invalid id", bodiless_request("DELETE", "/now/x"), 410, Open),
         row("a target that is not UTF-8", bodiless_request("GET", "/now/%ff%fe"), 410, Open),
         row("an encoded queue name", bodiless_request("GET", "/%6eow/"), 404, Open),
@@ -328,9 +328,14 @@
         row("an unknown method", bodiless_request("BREW", "/now/0000000000000208"), 405, Open),
         row("a POST without an id", post("", &good), 405, Open),
         row("an id in upper case", post("00000000000002AB", &good), 200, Open),
-        row("a state in upper case", bodiless_request("GET", "/now/00000000000002AB"), 200, Open),
         row(
-            "a state in the other case",
+            "the state of an id in upper case",
+            bodiless_request("GET", "/now/00000000000002AB"),
+            200,
+            Open,
+        ),
+        row(
+            "the state of the same id in lower case",
             bodiless_request("GET", "/now/00000000000002ab"),
             410,
             Open,
@@ -440,12 +445,12 @@
     let gang = json!([{"count": 2, "millicpu": 100, "gang": true, "persistent": true}]);
     let lasting = json!([{"count": 1, "persistent": true}, {"count": 1, "after": [0]}]);
     let jobs = vec![
-        ("a step after one that lasts", "0000000000000408", job(&lasting)),
-        ("a gang that lasts", "0000000000000401", job(&gang)),
+        ("a step after a lasting one", "0000000000000408", job(&lasting)),
+        ("a lasting gang", "0000000000000401", job(&gang)),
         ("tasks larger than any worker", "0000000000000402", job(&large)),
         ("thousands of tasks", "0000000000000403", job(&json!(vec![wide; 8]))),
         (
-            "thousands of tasks that ask for nothing",
+            "thousands of tasks without resource needs",
             "0000000000000407",
             job(&json!([{"count": 10_000}])),
         ),
@@ -460,7 +465,7 @@
             ),
         ),
         (
-            "a step named many times",
+            "a dependency listed many times",
             "0000000000000406",
             job(&json!([{"count": 1}, {"count": 1, "after": vec![0; 20_000]}])),
         ),
@@ -592,7 +597,7 @@
             sleep(Duration::from_millis(5)).await;
         }
     });
-    done.await.is_err().then(|| "the next job was not done".to_owned())
+    done.await.is_err().then(|| "the next job did not complete".to_owned())
 }
 
 /// Guards against malformed input from an open network: contradicting lengths, heads and bodies without end,
--- a/tests/platform/jobs.rs
+++ b/tests/platform/jobs.rs
@@ -177,7 +177,7 @@
 #[tokio::test]
 async fn jobs_are_refused_while_the_store_refuses_calls() {
     let cluster = Cluster::start(6, 2, 2, &["now"]).await;
-    cluster.platform.set_faults(StoreFaults { refuses: true, loses_answers: 0 });
+    cluster.platform.set_faults(StoreFaults { refuses: true, answers_to_lose: 0 });
     let answer = cluster.call(0, Method::POST, FIRST, &job(50, 1)).await.unwrap();
     expect_that!(answer.status, eq(StatusCode::SERVICE_UNAVAILABLE));
     expect_that!(answer.retry_after, some(eq("1")));
@@ -195,7 +195,7 @@
 #[tokio::test]
 async fn a_lost_answer_of_the_store_does_not_run_a_job_twice() {
     let cluster = Cluster::start(7, 2, 2, &["now"]).await;
-    cluster.platform.set_faults(StoreFaults { refuses: false, loses_answers: 3 });
+    cluster.platform.set_faults(StoreFaults { refuses: false, answers_to_lose: 3 });
     let answer = cluster.call(0, Method::POST, FIRST, &job(50, 2)).await.unwrap();
     expect_that!(answer.status, eq(StatusCode::OK));
     cluster.wait_state(1, FIRST, "completed").await;
--- a/tests/platform/registrations.rs
+++ b/tests/platform/registrations.rs
@@ -108,7 +108,7 @@
 }
 
 /// Guards against placing tasks on a worker whose registration has become invalid: it got tasks until
-/// the list was read again. It gets no new tasks, its runs go on, and it is used again once its
+/// the list was read again. It gets no new tasks, its runs continue, and it is used again once its
 /// registration is valid.
 #[gtest]
 #[tokio::test]
--- a/tests/platform/standin.rs
+++ b/tests/platform/standin.rs
@@ -47,7 +47,7 @@
     /// Whether every call is answered 503 and nothing is done.
     pub(crate) refuses: bool,
     /// Number of transactions that will be carried out but not answered.
-    pub(crate) loses_answers: u32,
+    pub(crate) answers_to_lose: u32,
 }
 
 /// What the store answers at one of its additional endpoints.
@@ -64,7 +64,7 @@
 
 struct WorkerRun {
     run: u64,
-    ends: Instant,
+    ends_at: Instant,
 }
 
 struct WorkerState {
@@ -433,8 +433,8 @@
             let (status, body) = lock(&state.store).transact(&change);
             let lost = {
                 let mut faults = lock(&state.faults);
-                let lost = faults.loses_answers > 0;
-                faults.loses_answers = faults.loses_answers.saturating_sub(1);
+                let lost = faults.answers_to_lose > 0;
+                faults.answers_to_lose = faults.answers_to_lose.saturating_sub(1);
                 lost
             };
             if lost { None } else { answer(status, &body) }
@@ -547,7 +547,7 @@
     /// Ends runs that are done, and all runs once the lease has expired.
     fn expire(&mut self) {
         let (now, lease_expired) = (Instant::now(), self.clock_ms() > self.until_ms);
-        let expired = self.runs.iter().filter(|(_, run)| lease_expired || run.ends <= now);
+        let expired = self.runs.iter().filter(|(_, run)| lease_expired || run.ends_at <= now);
         let expired: Vec<(String, u64)> =
             expired.map(|(task, run)| (task.clone(), run.run)).collect();
         for (task, run) in expired {
@@ -686,8 +686,8 @@
                 .push(format!("{task} starts on {} and runs on another worker", worker.id));
         }
         *lock(&state.starts).entry(task.clone()).or_default() += 1;
-        let ends = Instant::now() + Duration::from_millis(millis);
-        worker.runs.insert(task, WorkerRun { run, ends });
+        let ends_at = Instant::now() + Duration::from_millis(millis);
+        worker.runs.insert(task, WorkerRun { run, ends_at });
     }
     answer(200, &json!({"clock_ms": worker.clock_ms()}))
 }
--- a/tests/process.rs
+++ b/tests/process.rs
@@ -301,10 +301,10 @@
     connection.shutdown().await.unwrap();
     let mut text = Vec::new();
     let _ = connection.read_to_end(&mut text).await;
-    let begun = cluster
+    let started_requests = cluster
         .stand_in
         .with(|state| state.upstreams.values().map(|upstream| upstream.count().begun).sum::<u64>());
-    expect_that!(begun, eq(0), "a request with an incomplete body reached an upstream");
+    expect_that!(started_requests, eq(0), "a request with an incomplete body reached an upstream");
     let answer = cluster.get(callers, "/s/ws/svc/x").await.expect("an answer");
     expect_that!(answer.ran.as_str(), eq("yes"));
 }
