--- a/tests/graph/cancellation.rs
+++ b/tests/graph/cancellation.rs
@@ -44,7 +44,7 @@
     cluster.workers.values_mut().next().unwrap()
 }
 
-/// Adds a run to the only worker that no leader has a record of.
+/// Adds a run that no leader has a record of to the only worker.
 fn add_unknown_run(cluster: &mut SimCluster, task: &str, run: RunNumber) {
     let unknown_run = ModelRun {
         run,
--- a/tests/graph/model_worker.rs
+++ b/tests/graph/model_worker.rs
@@ -10,8 +10,8 @@
 };
 use tokio::time::Instant;
 
-/// Time during which a reduced capacity is not enforced yet: one heartbeat until it is reported, and
-/// three seconds until a leader in contact must apply it.
+/// Time during which a reduced capacity is not enforced yet: one heartbeat until it is reported,
+/// and three seconds until a leader in contact must apply it.
 const SHRINK_GRACE: Duration = Duration::from_millis(4_500);
 
 /// A run that a worker holds.
--- a/tests/graph/overload.rs
+++ b/tests/graph/overload.rs
@@ -22,8 +22,8 @@
     let epoch = cluster.store.epoch;
     cluster.leaders.remove(&epoch);
     cluster.run(Duration::from_millis(500));
-    // These jobs represent a backlog that was stored before the leader was lost and is late when the
-    // next one is elected.
+    // These jobs represent a backlog that was stored before the leader was lost and is late when
+    // the next one is elected.
     cluster.elect();
     let backlog: Vec<String> = (0..8).map(|number| format!("old{number}")).collect();
     for job in &backlog {
--- a/tests/graph/restarts.rs
+++ b/tests/graph/restarts.rs
@@ -1,5 +1,5 @@
-//! Workers that restart under their ids: their end numbers, clocks and leases start from
-//! their initial values.
+//! Workers that restart under their ids: their end numbers, clocks and leases start from their
+//! initial values.
 
 use std::time::Duration;
 
--- a/tests/graph/shards.rs
+++ b/tests/graph/shards.rs
@@ -265,8 +265,8 @@
     expect_that!(cluster.answers.get(&call), some(eq(&GraphAnswer::Accepted)));
 }
 
-// A deposed leader that has not detected its successor reads the same notices as that successor. Only
-// a share that the store accepts from its leader may run.
+// A deposed leader that has not detected its successor reads the same notices as that successor.
+// Only a share that the store accepts from its leader may run.
 #[gtest]
 fn a_deposed_leader_runs_no_share() {
     let mut cluster = SimCluster::sharded(45, 12, 2);
