--- a/src/domain/controller.rs
+++ b/src/domain/controller.rs
@@ -77,7 +77,7 @@
     pub(crate) quota: QuotaController,
     pub(crate) moves: MoveController,
     pub(crate) leader: Option<LeaderState>,
-    /// Copies of the ledger records: as last sent by the leader, or kept from an own term as leader.
+    /// Copies of the ledger records, as last sent by the leader or kept since this entry last led.
     pub(crate) warm_records: BTreeMap<String, LedgerRecord>,
     /// Upstreams in the list of the platform.
     pub(crate) listed_upstreams: Vec<UpstreamSpec>,
@@ -160,7 +160,7 @@
             DomainEvent::Store(owner, id, outcome) => {
                 self.handle_store_outcome(now, owner, id, outcome)
             }
-            DomainEvent::Head(stored) => {
+            DomainEvent::ConfigHead(stored) => {
                 let outputs = self.config.on_head(stored.as_ref());
                 self.apply_config_outputs(now, outputs);
             }
@@ -176,7 +176,7 @@
                 self.peers.set_own_free_slots(free);
                 self.handle_own_demand(now, report);
             }
-            DomainEvent::Leave => self.start_drain(now),
+            DomainEvent::Drain => self.start_drain(now),
         }
         self.advance(now);
         std::mem::take(&mut self.actions)
@@ -215,9 +215,9 @@
         self.apply_journal_outputs(now, outputs);
         let outputs = self.config.tick(now);
         self.apply_config_outputs(now, outputs);
-        self.peers_tick(now);
-        self.quota_tick(now);
-        self.moves_tick(now);
+        self.tick_peers(now);
+        self.tick_quota(now);
+        self.tick_moves(now);
         if now >= self.next_cleanup {
             self.next_cleanup = now + CLEANUP_INTERVAL;
             self.remove_expired_records(now);
@@ -378,7 +378,7 @@
         let actions = self.leadership.leave(now);
         self.apply_leadership_actions(now, actions);
         self.peers.make_heartbeats_due(now);
-        self.peers_tick(now);
+        self.tick_peers(now);
     }
 
     pub(crate) fn apply_journal_outputs(&mut self, now: Instant, outputs: Vec<JournalOutput>) {
@@ -508,8 +508,8 @@
         let ids: Vec<WorkerId> =
             leader.scheduler.pool().iter().map(|worker| worker.spec.id.clone()).collect();
         for id in ids {
-            let closed = self.leaving_workers.contains(&id) || self.silent_workers.contains(&id);
-            leader.scheduler.set_leaving(&id, closed);
+            let excluded = self.leaving_workers.contains(&id) || self.silent_workers.contains(&id);
+            leader.scheduler.set_leaving(&id, excluded);
         }
     }
 
@@ -553,7 +553,7 @@
                     }
                     self.remove_endpoint(&task);
                 }
-                FleetOutput::Outranked(token) => {
+                FleetOutput::HigherToken(token) => {
                     let actions = self.leadership.on_token(now, &token);
                     self.apply_leadership_actions(now, actions);
                 }
--- a/src/domain/event.rs
+++ b/src/domain/event.rs
@@ -106,7 +106,7 @@
     /// The outcome of a call to the store.
     Store(StoreOwner, CallId, StoreOutcome),
     /// The watch on the configuration reported its current head.
-    Head(Option<StoredValue>),
+    ConfigHead(Option<StoredValue>),
     /// A worker's reply to an exchange; `None` on a failure or timeout.
     Worker(WorkerId, ExchangeId, Option<WorkerReply>),
     /// The platform's list of VMs.
@@ -120,7 +120,7 @@
     /// The router of this entry reports its demand for slots and its free slots by service.
     Demand(DemandReport, BTreeMap<ServiceId, u32>),
     /// A planned stop begins.
-    Leave,
+    Drain,
 }
 
 /// Output of a [`DomainController`](crate::DomainController).
--- a/src/domain/jobs.rs
+++ b/src/domain/jobs.rs
@@ -310,7 +310,7 @@
     }
 
     /// Withdraws all starts whose record is not durable, and removes these records. Under a new token
-    /// the ledger is read again; a start recorded there is then known to be of an earlier leader.
+    /// the ledger is read again, and every start recorded in it counts as one of an earlier leader.
     pub(crate) fn withdraw_waiting_starts(&mut self, now: Instant) {
         let Some(leader) = &mut self.leader else {
             return;
@@ -341,9 +341,10 @@
         let mut found = false;
         for waiters in leader.waiters.values_mut() {
             waiters.retain(|waiter| {
-                let own = matches!(waiter, CommitWaiter::Start { task, .. } if task == wanted);
-                found |= own;
-                !own
+                let is_wanted =
+                    matches!(waiter, CommitWaiter::Start { task, .. } if task == wanted);
+                found |= is_wanted;
+                !is_wanted
             });
         }
         found
@@ -374,8 +375,8 @@
             return;
         };
         let is_reported = |task: &TaskId, attempt: Attempt| {
-            let mut own = tasks.iter().filter(|report| report.task == *task);
-            own.any(|report| report.attempt >= attempt || report.outcome.is_none())
+            let mut reports = tasks.iter().filter(|report| report.task == *task);
+            reports.any(|report| report.attempt >= attempt || report.outcome.is_none())
         };
         let missing: Vec<TaskId> = leader
             .scheduler
@@ -560,7 +561,7 @@
             .values()
             .map(|i| intent_job_id(&i.spec.service(), i.changed, &self.identity.domain))
             .collect();
-        let gone: Vec<String> = self
+        let expired_names: Vec<String> = self
             .journal
             .records()
             .filter(|record| match record {
@@ -574,7 +575,7 @@
             })
             .map(LedgerRecord::name)
             .collect();
-        for name in gone {
+        for name in expired_names {
             self.journal.put(LedgerRecord::Gone(name));
         }
     }
--- a/src/domain/moves.rs
+++ b/src/domain/moves.rs
@@ -186,7 +186,7 @@
         }
     }
 
-    pub(crate) fn moves_tick(&mut self, now: Instant) {
+    pub(crate) fn tick_moves(&mut self, now: Instant) {
         let Some(leader) = &self.leader else {
             self.moves.takeover = None;
             return;
@@ -197,7 +197,7 @@
         let deadline = self.leadership.deadline();
         self.query_moves(now);
         match deadline {
-            Some(deadline) if now < deadline => self.takeover_tick(now),
+            Some(deadline) if now < deadline => self.tick_takeover(now),
             _ => {
                 self.moves.takeover = None;
                 self.request_holds(now);
@@ -206,7 +206,7 @@
     }
 
     /// Queries the outcome of moves that an earlier leader began and did not finish. The ledger of the
-    /// domain that the job came from decides.
+    /// job's previous domain records whether it was moved.
     fn query_moves(&mut self, now: Instant) {
         if now < self.moves.next_move_query || self.moves.takeover.is_some() {
             return;
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Handles the answer to a query: the domain that the job came from states whether it was moved.
+    /// Handles the answer to a query: the job's previous domain states whether it was moved.
     pub(crate) fn handle_move_answer(&mut self, query_id: CallId, answer: &ClientAnswer) {
         let Some(id) = self.moves.move_queries.remove(&query_id) else {
             return;
@@ -267,7 +267,7 @@
         }
     }
 
-    fn takeover_tick(&mut self, now: Instant) {
+    fn tick_takeover(&mut self, now: Instant) {
         if self.moves.takeover.is_none()
             && let Some(domain) = self.silent_domain(now)
         {
@@ -278,16 +278,16 @@
         };
         let actions = takeover.leadership.tick(now);
         let outputs = takeover.journal.tick(now);
-        self.takeover_lease(now, actions);
-        self.takeover_ledger(now, outputs);
-        self.takeover_advance(now);
+        self.apply_takeover_actions(now, actions);
+        self.apply_takeover_outputs(now, outputs);
+        self.advance_takeover(now);
     }
 
     /// A failure domain whose leader has been silent for [`SILENCE_LIMIT`], if there are intents with
     /// movable tasks.
     fn silent_domain(&mut self, now: Instant) -> Option<DomainId> {
-        let movable = self.config.current().intents.values();
-        let any_movable = movable.into_iter().any(|intent| intent.spec.cut_off == CutOffRule::Move);
+        let intents = self.config.current().intents.values();
+        let any_movable = intents.into_iter().any(|intent| intent.spec.cut_off == CutOffRule::Move);
         let since = self.moves.leading_since;
         let silent = self.moves.other_domains.iter().find(|domain| {
             let last_heartbeat =
@@ -298,7 +298,7 @@
         silent.cloned()
     }
 
-    fn takeover_lease(&mut self, now: Instant, actions: Vec<LeadershipAction>) {
+    fn apply_takeover_actions(&mut self, now: Instant, actions: Vec<LeadershipAction>) {
         for action in actions {
             match action {
                 LeadershipAction::Call(id, request) => {
@@ -317,7 +317,7 @@
         }
     }
 
-    fn takeover_ledger(&mut self, now: Instant, outputs: Vec<JournalOutput>) {
+    fn apply_takeover_outputs(&mut self, now: Instant, outputs: Vec<JournalOutput>) {
         for output in outputs {
             match output {
                 JournalOutput::Call(id, request) => {
@@ -352,16 +352,16 @@
         match id % CALL_KINDS {
             0 => {
                 let actions = takeover.leadership.answer(now, id / CALL_KINDS, outcome);
-                self.takeover_lease(now, actions);
+                self.apply_takeover_actions(now, actions);
             }
             _ => {
                 let outputs = takeover.journal.answer(now, id / CALL_KINDS, outcome);
-                self.takeover_ledger(now, outputs);
+                self.apply_takeover_outputs(now, outputs);
             }
         }
     }
 
-    fn takeover_advance(&mut self, now: Instant) {
+    fn advance_takeover(&mut self, now: Instant) {
         let last_heartbeat =
             self.moves.takeover.as_ref().and_then(|t| self.peers.domain_last_heartbeat(&t.domain));
         let Some(takeover) = &mut self.moves.takeover else {
@@ -377,7 +377,7 @@
                 if let Some(token) = takeover.leadership.token().cloned() {
                     takeover.stage = TakeoverStage::Reading;
                     let outputs = takeover.journal.recover(token);
-                    self.takeover_ledger(now, outputs);
+                    self.apply_takeover_outputs(now, outputs);
                 }
             }
             TakeoverStage::RecordingPlan(ticket, _) if self.journal.written(ticket) => {
@@ -438,7 +438,7 @@
         }
         takeover.stage = TakeoverStage::Moving(ticket, jobs);
         let outputs = takeover.journal.tick(now);
-        self.takeover_ledger(now, outputs);
+        self.apply_takeover_outputs(now, outputs);
     }
 
     /// Starts the moved jobs when the moves are durable.
--- a/src/domain/peers.rs
+++ b/src/domain/peers.rs
@@ -54,8 +54,9 @@
     interval: Duration,
     peers: BTreeMap<EntryId, PeerState>,
     calls: BTreeMap<CallId, ForwardedCall>,
-    /// Number of the last group of records received, and the token of its leader.
+    /// Token of the leader that sent the last group of ledger records, and the number of the group.
     warm_position: Option<(FencingToken, u64)>,
+    /// Number of the last group of ledger records that this entry sent as leader.
     warm_seq: u64,
     /// Free slots of the router of this entry, by service.
     own_free_slots: BTreeMap<ServiceId, u32>,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Peers whose heartbeat is due; schedules their next one.
+    /// Returns the peers to which a heartbeat is due and schedules the next one.
     fn take_due_heartbeats(&mut self, now: Instant) -> Vec<EntryId> {
         let interval = self.interval;
         let own = self.domain.clone();
@@ -178,7 +179,7 @@
         overdue.map(|(id, forwarded_call)| (id, forwarded_call.call)).collect()
     }
 
-    /// Entries with free slots for a service, most first.
+    /// Entries with free slots by service, most free slots first.
     pub(crate) fn entries_with_free_slots(
         &self,
         now: Instant,
@@ -246,7 +247,7 @@
 
 impl DomainController {
     /// Sends due heartbeats and refuses forwarded calls that were not answered in time.
-    pub(crate) fn peers_tick(&mut self, now: Instant) {
+    pub(crate) fn tick_peers(&mut self, now: Instant) {
         let due = self.peers.take_due_heartbeats(now);
         if !due.is_empty() {
             let heartbeat = self.heartbeat();
--- a/src/domain/quota.rs
+++ b/src/domain/quota.rs
@@ -65,11 +65,11 @@
             return false;
         };
         let key = |domain: &DomainId, request: &QuotaRequest| (request.since, domain.clone());
-        let first = wants.get(own).map_or((now, own.clone()), |request| key(own, request));
+        let own_key = wants.get(own).map_or((now, own.clone()), |request| key(own, request));
         let is_valid =
             |request: &QuotaRequest| now < request.renewed.saturating_add(REQUEST_VALIDITY_MS);
         wants.iter().any(|(domain, request)| {
-            domain != own && is_valid(request) && key(domain, request) < first
+            domain != own && is_valid(request) && key(domain, request) < own_key
         })
     }
 
@@ -291,7 +291,7 @@
 
 impl DomainController {
     /// Sets the limits of the scheduler and starts a change of parts if one is due.
-    pub(crate) fn quota_tick(&mut self, now: Instant) {
+    pub(crate) fn tick_quota(&mut self, now: Instant) {
         let Some(leader) = self.leader.as_mut().filter(|leader| leader.active && leader.settled)
         else {
             return;
--- a/src/domain/view.rs
+++ b/src/domain/view.rs
@@ -33,14 +33,14 @@
         });
         entries.sort_by(|a, b| a.entry.cmp(&b.entry));
         let config = self.config.current();
-        let counts = config.intents.iter();
+        let intents = config.intents.iter();
         StatusView {
             entry: self.identity.entry.clone(),
             revision: config.revision,
             store_up: self.leadership.store_up(now),
             entries,
             domains: self.peers.cluster(now, &self.domain_summary()),
-            intents: counts.map(|(name, intent)| (name.clone(), intent.spec.count)).collect(),
+            intents: intents.map(|(name, intent)| (name.clone(), intent.spec.count)).collect(),
         }
     }
 
@@ -63,7 +63,7 @@
                     "rack": worker.spec.rack,
                     "capacity": worker.spec.capacity,
                     "free": worker.free,
-                    "open": worker.open,
+                    "open": worker.schedulable,
                     "tasks": worker.tasks.len(),
                 })
             });
--- a/src/entry/process.rs
+++ b/src/entry/process.rs
@@ -147,7 +147,7 @@
     /// in flight, and ends all threads. Returns false if requests were cut.
     pub fn drain(mut self) -> bool {
         info!("{}: planned stop", self.name);
-        let _ = self.control.offer(DomainEvent::Leave.into());
+        let _ = self.control.offer(DomainEvent::Drain.into());
         std::thread::sleep(NOT_READY_TIME);
         let _ = self.callers.offer(CallerInput::Stop);
         let drained = match self.caller_thread.take().map(JoinHandle::join) {
--- a/src/entry/store.rs
+++ b/src/entry/store.rs
@@ -167,7 +167,7 @@
             && stored.as_ref().is_none_or(|s| Some(s.version) == seen_version);
         seen_version =
             Some(stored.as_ref().map_or(seen_version.unwrap_or(0), |stored| stored.version));
-        if !unchanged && !control.send(DomainEvent::Head(stored).into()).await {
+        if !unchanged && !control.send(DomainEvent::ConfigHead(stored).into()).await {
             return;
         }
     }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -21,7 +21,7 @@
 const CLOCK_MARGIN: Duration = Duration::from_millis(500);
 /// Delay before a worker that did not answer is asked again.
 const RETRY_PAUSE: Duration = Duration::from_millis(500);
-/// Most new commands in one exchange.
+/// Maximum number of new commands in one exchange.
 const MAX_COMMANDS: usize = 256;
 
 /// Number of an exchange.
@@ -48,20 +48,20 @@
     /// A task that was delivered is not listed any more.
     Vanished(WorkerId, TaskId),
     /// A worker has seen a higher token than that of this leader.
-    Outranked(FencingToken),
+    HigherToken(FencingToken),
     /// A worker does not answer (`true`), or answers again (`false`).
     Silent(WorkerId, bool),
-    /// All tasks that this leader started on the worker are certain to have ended.
+    /// Every lease on the worker is certain to have expired, so its tasks have ended.
     LeaseExpired(WorkerId),
 }
 
 #[derive(Debug)]
 enum ClaimState {
-    /// It has to be claimed before it is used.
+    /// The worker has to be claimed before it is used.
     Unclaimed,
-    /// It has accepted this leader's token.
+    /// The worker has accepted this leader's token.
     Claimed {
-        /// Its clock in its last answer.
+        /// Time on the worker's clock in its last answer.
         clock: Duration,
         /// When that answer arrived.
         answered_at: Instant,
@@ -89,7 +89,7 @@
     next_exchange_at: Instant,
     /// Latest time until which a lease granted by this leader may last.
     lease_end: Instant,
-    /// Attempts that the worker is known to have and was not told to forget.
+    /// Attempts that the worker has listed or accepted, until it accepts a command to forget them.
     delivered: BTreeMap<TaskId, Attempt>,
     silent: bool,
     /// When the platform stopped listing it.
@@ -231,9 +231,9 @@
         before > member.commands.len()
     }
 
-    /// Detects expired leases and starts the exchanges that are due. Until `movable_until`, no other
-    /// failure domain can take over movable tasks; `None` if that time is not known. `may_send` tells
-    /// whether any exchange may be started.
+    /// Detects expired leases and starts the exchanges that are due. Before `movable_until`, no other
+    /// failure domain can take over movable tasks; with `None`, their leases are not renewed.
+    /// `may_send` tells whether any exchange may be started.
     pub fn tick(
         &mut self,
         now: Instant,
@@ -300,7 +300,7 @@
         };
         match reply {
             None => member.handle_no_reply(now, pending),
-            Some(reply) if reply.highest > token => vec![FleetOutput::Outranked(reply.highest)],
+            Some(reply) if reply.highest > token => vec![FleetOutput::HigherToken(reply.highest)],
             Some(reply) => member.handle_reply(now, pending, reply, &self.timing),
         }
     }
@@ -313,12 +313,12 @@
 
     /// Returns `true` once when every lease on the worker is certain to have expired.
     fn expire_lease(&mut self, now: Instant, timing: &TimingSettings) -> bool {
-        let listing_expired = self
+        let unlisted_lease_expired = self
             .unlisted_since
             .is_some_and(|since| now >= since + timing.task_lease + CLOCK_MARGIN);
         let all_ended = match self.is_claimed() {
             true => self.silent && now >= self.lease_end + CLOCK_MARGIN,
-            false => listing_expired && !self.lease_expired,
+            false => unlisted_lease_expired && !self.lease_expired,
         };
         if all_ended {
             self.claim_state = ClaimState::Unclaimed;
@@ -444,7 +444,7 @@
             .collect();
         let mut vanished = vanished;
         if !same_boot {
-            // These may have started before the restart of the worker; they do not run now.
+            // Unconfirmed starts may have taken effect before the worker restarted; their tasks no longer run.
             vanished.extend(std::mem::take(&mut self.unconfirmed).into_iter().filter_map(
                 |command| match command {
                     WorkerCommand::Start { task, attempt, .. } if !is_listed(&task, attempt) => {
--- a/src/leadership/role.rs
+++ b/src/leadership/role.rs
@@ -146,7 +146,7 @@
     store_failed: Option<Instant>,
     pending: Option<(CallId, PendingCall)>,
     next_call: CallId,
-    writes: u64,
+    write_count: u64,
     boot: u64,
     leaving: bool,
     /// Whether this entry may lead without the store.
@@ -175,7 +175,7 @@
             store_failed: None,
             pending: None,
             next_call: 0,
-            writes: 0,
+            write_count: 0,
             boot,
             leaving: false,
             may_detach: true,
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Handles the certain end of the leader's process, which shortens the wait for a takeover.
+    /// Handles the end of the leader's process, which shortens the wait for a takeover.
     pub fn on_leader_gone(&mut self, now: Instant) {
         self.on_resignation(now);
         if let LeadershipRole::Following(role) = &mut self.role {
@@ -319,7 +319,7 @@
             let (epoch, version) = (role.token.epoch, role.version);
             let writing = matches!(self.pending, Some((_, PendingCall::Write(_))));
             if let Some(version) = version.filter(|_| !writing) {
-                let record = self.record(epoch, Duration::ZERO);
+                let record = self.new_record(epoch, Duration::ZERO);
                 actions.push(self.write_lease(now, version, record));
             }
         }
@@ -380,7 +380,7 @@
         match expired_lease {
             Some((version, epoch)) => {
                 let known = self.highest.as_ref().map_or(0, |token| token.epoch);
-                let record = self.record(epoch.max(known) + 1, self.timing.lease_ttl);
+                let record = self.new_record(epoch.max(known) + 1, self.timing.lease_ttl);
                 vec![self.write_lease(now, version, record)]
             }
             None => vec![self.read_lease(None)],
@@ -396,7 +396,7 @@
         let (epoch, version) = (role.token.epoch, role.version);
         match version {
             Some(version) => {
-                let record = self.record(epoch, self.timing.lease_ttl);
+                let record = self.new_record(epoch, self.timing.lease_ttl);
                 vec![self.write_lease(now, version, record)]
             }
             None => vec![self.read_lease(None)],
@@ -434,9 +434,9 @@
         vec![LeadershipAction::Lead(token)]
     }
 
-    fn record(&mut self, epoch: u64, ttl: Duration) -> LeaseRecord {
-        self.writes += 1;
-        let write_id = format!("{}-{}-{}", self.entry, self.boot, self.writes);
+    fn new_record(&mut self, epoch: u64, ttl: Duration) -> LeaseRecord {
+        self.write_count += 1;
+        let write_id = format!("{}-{}-{}", self.entry, self.boot, self.write_count);
         LeaseRecord { epoch, holder: self.entry.clone(), ttl, write_id }
     }
 
--- a/src/leadership/role/answers.rs
+++ b/src/leadership/role/answers.rs
@@ -69,7 +69,7 @@
         match &mut self.role {
             _ if write.record.ttl.is_zero() => Vec::new(),
             _ if self.leaving => {
-                let record = self.record(write.record.epoch, Duration::ZERO);
+                let record = self.new_record(write.record.epoch, Duration::ZERO);
                 vec![self.write_lease(now, version, record)]
             }
             LeadershipRole::Leading(role)
@@ -99,7 +99,7 @@
         record: LeaseRecord,
     ) -> Vec<LeadershipAction> {
         let known = self.highest.as_ref().map_or(0, |token| token.epoch);
-        let record = self.record(known.max(record.epoch) + 1, self.timing.lease_ttl);
+        let record = self.new_record(known.max(record.epoch) + 1, self.timing.lease_ttl);
         vec![self.write_lease(now, version, record)]
     }
 
@@ -149,7 +149,7 @@
                 Vec::new()
             }
             _ if epoch <= token.epoch => {
-                let record = self.record(token.epoch + 1, self.timing.lease_ttl);
+                let record = self.new_record(token.epoch + 1, self.timing.lease_ttl);
                 vec![self.write_lease(now, version, record)]
             }
             _ => {
--- a/src/ledger/journal.rs
+++ b/src/ledger/journal.rs
@@ -135,11 +135,12 @@
     changed: BTreeSet<String>,
     /// The segment being written.
     segment: Option<(JournalSegment, CommitTicket)>,
-    tickets: CommitTicket,
+    last_ticket: CommitTicket,
     next_number: u64,
     /// When the next write would be due if writes were spaced by the interval.
     next_write: Instant,
-    slots: BTreeMap<u64, KeyVersion>,
+    /// Versions of the slots of the ring, as last read or written.
+    slot_versions: BTreeMap<u64, KeyVersion>,
     base: Option<JournalBase>,
     base_version: KeyVersion,
     journal_bytes: usize,
@@ -148,7 +149,7 @@
     calls: BTreeMap<CallId, JournalCall>,
     retries: Vec<(Instant, JournalCall)>,
     next_call: CallId,
-    write_ids: u64,
+    write_count: u64,
     boot: u64,
 }
 
@@ -166,10 +167,10 @@
             durable_ticket: 0,
             changed: BTreeSet::new(),
             segment: None,
-            tickets: 0,
+            last_ticket: 0,
             next_number: 1,
             next_write: now,
-            slots: BTreeMap::new(),
+            slot_versions: BTreeMap::new(),
             base: None,
             base_version: 0,
             journal_bytes: 0,
@@ -178,7 +179,7 @@
             calls: BTreeMap::new(),
             retries: Vec::new(),
             next_call: 0,
-            write_ids: 0,
+            write_count: 0,
             boot,
         }
     }
@@ -226,13 +227,13 @@
         self.dirty.insert(record.name());
         self.changed.insert(record.name());
         apply(&mut self.records, record);
-        self.ticket()
+        self.next_ticket()
     }
 
-    fn ticket(&mut self) -> CommitTicket {
-        self.tickets += 1;
-        self.dirty_ticket = self.tickets;
-        self.tickets
+    fn next_ticket(&mut self) -> CommitTicket {
+        self.last_ticket += 1;
+        self.dirty_ticket = self.last_ticket;
+        self.last_ticket
     }
 
     /// One record.
@@ -253,12 +254,12 @@
         }
         self.dirty.insert(name.to_owned());
         self.changed.insert(name.to_owned());
-        Some(self.ticket())
+        Some(self.next_ticket())
     }
 
     /// Ticket of the last change, durable or not.
     pub fn last_ticket(&self) -> CommitTicket {
-        self.tickets
+        self.last_ticket
     }
 
     /// Tells whether everything up to a ticket is durable.
@@ -348,9 +349,9 @@
     }
 
     fn write_id(&mut self) -> String {
-        self.write_ids += 1;
+        self.write_count += 1;
         let entry = self.token.as_ref().map_or("", |token| &token.entry);
-        format!("{entry}-{}-{}", self.boot, self.write_ids)
+        format!("{entry}-{}-{}", self.boot, self.write_count)
     }
 
     fn call(&mut self, call: JournalCall) -> JournalOutput {
@@ -376,7 +377,7 @@
             },
             JournalCall::WriteSegment => StoreRequest::Swap {
                 key: self.slot_key(self.next_number),
-                expected: *self.slots.get(&(self.next_number % RING_SLOTS)).unwrap_or(&0),
+                expected: *self.slot_versions.get(&(self.next_number % RING_SLOTS)).unwrap_or(&0),
                 value: self.segment.as_ref().map_or(String::new(), |(segment, _)| encode(segment)),
             },
             JournalCall::ReadPartVersion(part) => {
@@ -465,7 +466,7 @@
                 self.verify_segment(now, &stored)
             }
             (JournalCall::VerifySegment, StoreOutcome::Missing) => {
-                self.slots.remove(&(self.next_number % RING_SLOTS));
+                self.slot_versions.remove(&(self.next_number % RING_SLOTS));
                 vec![self.call(JournalCall::WriteSegment)]
             }
             (call, outcome) => self.handle_compaction_outcome(now, call, outcome),
@@ -473,7 +474,7 @@
     }
 
     fn handle_segment_written(&mut self, now: Instant, version: KeyVersion) -> Vec<JournalOutput> {
-        self.slots.insert(self.next_number % RING_SLOTS, version);
+        self.slot_versions.insert(self.next_number % RING_SLOTS, version);
         self.next_number += 1;
         let Some((segment, ticket)) = self.segment.take() else {
             return Vec::new();
@@ -505,7 +506,7 @@
             }
             Some(found) if found.number >= own.number => self.handle_foreign_segment(found),
             _ => {
-                self.slots.insert(self.next_number % RING_SLOTS, stored.version);
+                self.slot_versions.insert(self.next_number % RING_SLOTS, stored.version);
                 vec![self.call(JournalCall::WriteSegment)]
             }
         }
--- a/src/ledger/journal/recovery.rs
+++ b/src/ledger/journal/recovery.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl JournalController {
-    /// Starts recovery as leader under `token`. Changes that are not written yet are kept: callers were
-    /// told that they are not durable, and they are written after the fence.
+    /// Starts recovery as leader under `token`. Changes that are not written yet are kept and
+    /// written after the fence: answers to callers reported them as not durable.
     pub fn recover(&mut self, token: FencingToken) -> Vec<JournalOutput> {
         self.token = Some(token);
         self.calls.clear();
@@ -13,7 +13,7 @@
         if let Some((segment, _)) = self.segment.take() {
             self.dirty.extend(segment.records.iter().map(LedgerRecord::name));
         }
-        self.slots.clear();
+        self.slot_versions.clear();
         self.stage = JournalStage::Recovering(RecoveryState::new(1, 0));
         vec![self.call(JournalCall::ReadBase)]
     }
@@ -82,7 +82,7 @@
         stored: Option<&StoredValue>,
     ) -> Vec<JournalOutput> {
         let version = stored.map_or(0, |stored| stored.version);
-        self.slots.insert(number % RING_SLOTS, version);
+        self.slot_versions.insert(number % RING_SLOTS, version);
         let segment = stored.and_then(decode::<JournalSegment>).filter(|s| s.number == number);
         self.journal_bytes += segment.as_ref().and(stored).map_or(0, |stored| stored.value.len());
         let JournalStage::Recovering(state) = &mut self.stage else {
--- a/src/ledger/segment.rs
+++ b/src/ledger/segment.rs
@@ -79,7 +79,7 @@
     Taken {
         /// The other failure domain.
         domain: DomainId,
-        /// The epoch; leaders of that domain with a lower one must not go on with such jobs.
+        /// The epoch; leaders of that domain with a lower one must not continue such jobs.
         epoch: u64,
     },
     /// The record with this name was removed.
--- a/src/placement/gang.rs
+++ b/src/placement/gang.rs
@@ -37,7 +37,7 @@
     ) -> Option<Self> {
         let mut candidates: Vec<_> = pool
             .iter()
-            .filter(|worker| worker.open)
+            .filter(|worker| worker.schedulable)
             .map(|worker| {
                 let (free_at, capacity) = availability(worker);
                 (free_at, worker.spec.id.clone(), tasks_that_fit(need, &capacity))
--- a/src/placement/health.rs
+++ b/src/placement/health.rs
@@ -1,4 +1,4 @@
-//! Tells faulty workers from faulty jobs by where and how often tasks fail.
+//! Distinguishes faulty workers from faulty jobs by where and how often tasks fail.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -121,13 +121,13 @@
     }
 
     /// Tells whether a probe runs on the worker. Nothing else starts there until the probe ends or
-    /// its time is over.
+    /// its time limit has passed.
     pub fn is_probe_running(&self, worker: &WorkerId, now: Instant) -> bool {
         let health = self.workers.get(worker).filter(|health| health.probing);
         health.and_then(|health| health.probe_until).is_some_and(|until| now < until)
     }
 
-    /// Forgets a job that is over.
+    /// Drops the failures of a job that has ended.
     pub fn forget_job(&mut self, job: &JobId) {
         self.jobs.remove(job);
     }
--- a/src/placement/pool.rs
+++ b/src/placement/pool.rs
@@ -8,7 +8,7 @@
 use crate::invariant;
 use crate::resources::ResourceVector;
 
-/// Workers that a search examines in one class before it goes on to the next.
+/// Maximum number of workers that a search examines in one class.
 const MAX_CLASS_CANDIDATES: usize = 8;
 /// Millicores in a core; classes are formed by whole free cores.
 const MILLICORES_PER_CORE: u32 = 1_000;
@@ -35,7 +35,7 @@
     /// Reservations by task.
     pub tasks: BTreeMap<TaskId, ResourceVector>,
     /// Whether new work may be placed on it.
-    pub open: bool,
+    pub schedulable: bool,
     /// The only task that may use free capacity here, while other tasks are preempted for it.
     pub reserved_for: Option<TaskId>,
 }
@@ -88,7 +88,7 @@
             free: spec.capacity,
             spec,
             tasks: BTreeMap::new(),
-            open: true,
+            schedulable: true,
             reserved_for: None,
         };
         self.index(&worker);
@@ -129,7 +129,7 @@
 
     /// Unreserved capacity of all schedulable workers.
     pub fn free(&self) -> ResourceVector {
-        let schedulable = self.workers.values().filter(|worker| worker.open);
+        let schedulable = self.workers.values().filter(|worker| worker.schedulable);
         schedulable.fold(ResourceVector::default(), |sum, worker| sum.saturating_add(&worker.free))
     }
 
@@ -140,7 +140,7 @@
 
     /// Sets whether new work may be placed on a worker.
     pub fn set_schedulable(&mut self, id: &WorkerId, schedulable: bool) {
-        self.update(id, |worker| worker.open = schedulable);
+        self.update(id, |worker| worker.schedulable = schedulable);
     }
 
     /// Reserves the free capacity of a worker for one task, or lifts that reservation.
@@ -252,7 +252,7 @@
         }
         let candidates = self.workers.values().filter(|worker| {
             let reserved = worker.reserved_for.as_ref().is_some_and(|reserved| reserved != task);
-            worker.open && !reserved && need.fits(&worker.free) && allowed(worker)
+            worker.schedulable && !reserved && need.fits(&worker.free) && allowed(worker)
         });
         let best = candidates.min_by_key(|worker| {
             let in_rack = racks.get(&worker.spec.rack).copied().unwrap_or(0);
@@ -280,7 +280,7 @@
     }
 
     fn index(&mut self, worker: &PoolWorker) {
-        if worker.open {
+        if worker.schedulable {
             let key = (worker.free.memory_mib, worker.spec.id.clone());
             self.classes.entry(worker.class_key()).or_default().insert(key);
         }
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -26,11 +26,11 @@
 use crate::token::FencingToken;
 use crate::worker::{TaskOutcome, TaskUsage};
 
-/// Jobs that may fail to fit before a scheduling pass ends.
+/// Number of jobs that may fail to fit before a scheduling pass ends.
 const MAX_PASS_FAILURES: u32 = 128;
-/// Searches for victims in one pass.
+/// Maximum number of searches for victims in one pass.
 const MAX_PASS_VICTIM_SEARCHES: u32 = 16;
-/// Times that one task may be preempted for urgent work.
+/// Number of times that one task may be preempted for urgent work.
 const MAX_PREEMPTIONS: u32 = 2;
 /// Time for which freed capacity is reserved for the urgent task that it was freed for.
 const RESERVATION_TIME: Duration = Duration::from_secs(5);
@@ -106,7 +106,7 @@
     live: BTreeSet<TaskIndex>,
     attempts: BTreeMap<TaskIndex, Attempt>,
     preemptions: BTreeMap<TaskIndex, u32>,
-    /// Consecutive losses of each task soon after its start, together with its worker.
+    /// Consecutive times that each task was lost, together with its worker, soon after its start.
     early_losses: BTreeMap<TaskIndex, u32>,
     /// Tasks that are not idempotent and were started before: they never start again.
     not_restartable: BTreeSet<TaskIndex>,
@@ -121,14 +121,15 @@
     jobs: BTreeMap<JobId, ScheduledJob>,
     live: BTreeMap<TaskId, LiveTask>,
     used: BTreeMap<WorkspaceId, ResourceVector>,
-    allowed: BTreeMap<WorkspaceId, ResourceVector>,
+    usage_limits: BTreeMap<WorkspaceId, ResourceVector>,
     estimates: EstimateTable,
     health: HealthTable,
     delayed: BTreeSet<(Instant, TaskId)>,
     /// Tasks on workers that belong to no job known here.
     strays: BTreeMap<WorkerId, BTreeSet<TaskId>>,
     quarantined: BTreeMap<WorkerId, Instant>,
-    leaving: BTreeSet<WorkerId>,
+    /// Workers that are leaving or do not answer.
+    excluded: BTreeSet<WorkerId>,
     capacity_reservations: BTreeMap<TaskId, (WorkerId, Instant)>,
     gang_reservation: Option<GangReservation>,
     /// Tasks that may run on a worker that has not answered this leader yet.
@@ -183,7 +184,7 @@
     pub fn quota_demand(&self) -> BTreeMap<WorkspaceId, ResourceVector> {
         let mut demand: BTreeMap<WorkspaceId, ResourceVector> = BTreeMap::new();
         let bounded =
-            self.queue.iter().filter(|job| self.allowed.contains_key(&job.spec.workspace));
+            self.queue.iter().filter(|job| self.usage_limits.contains_key(&job.spec.workspace));
         for job in bounded {
             let count = u32::try_from(job.waiting.len()).unwrap_or(u32::MAX);
             let need = self.estimates.need(&job.spec).times(count);
@@ -207,10 +208,10 @@
 
     /// Sets the part of its quota that a workspace may use here; `None` removes the limit.
     pub fn allow(&mut self, workspace: &WorkspaceId, part: Option<ResourceVector>) {
-        let before = self.allowed.get(workspace).copied();
+        let before = self.usage_limits.get(workspace).copied();
         match part {
-            Some(part) => self.allowed.insert(workspace.clone(), part),
-            None => self.allowed.remove(workspace),
+            Some(part) => self.usage_limits.insert(workspace.clone(), part),
+            None => self.usage_limits.remove(workspace),
         };
         self.dirty |= before != part;
     }
@@ -225,7 +226,7 @@
     pub fn add_worker(&mut self, spec: WorkerSpec) {
         let id = spec.id.clone();
         self.pool.add(spec);
-        let schedulable = !self.leaving.contains(&id) && !self.quarantined.contains_key(&id);
+        let schedulable = !self.excluded.contains(&id) && !self.quarantined.contains_key(&id);
         self.pool.set_schedulable(&id, schedulable);
         self.dirty = true;
     }
@@ -300,14 +301,14 @@
         self.dirty = true;
     }
 
-    /// Sets whether the platform lists a worker as leaving. A leaving worker gets no new work.
-    pub fn set_leaving(&mut self, id: &WorkerId, leaving: bool) {
-        let changed = match leaving {
-            true => self.leaving.insert(id.clone()),
-            false => self.leaving.remove(id),
+    /// Sets whether a worker is leaving or does not answer. Such a worker gets no new work.
+    pub fn set_leaving(&mut self, id: &WorkerId, excluded: bool) {
+        let changed = match excluded {
+            true => self.excluded.insert(id.clone()),
+            false => self.excluded.remove(id),
         };
         if changed {
-            let schedulable = !leaving && !self.quarantined.contains_key(id);
+            let schedulable = !excluded && !self.quarantined.contains_key(id);
             self.pool.set_schedulable(id, schedulable);
             self.dirty = true;
         }
@@ -343,8 +344,8 @@
         self.dirty = true;
     }
 
-    /// Takes from the ledger which tasks were started under earlier leaders. Those that are not
-    /// idempotent and do not run here never start again.
+    /// Excludes from another start the tasks that the ledger records as started under earlier leaders,
+    /// if they are not idempotent and do not run here.
     pub fn exclude_started_tasks(&mut self, record: &JobRecord) {
         let id = &record.spec.id;
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.spec.idempotent) else {
@@ -528,7 +529,7 @@
             .collect();
         for id in released {
             self.quarantined.remove(&id);
-            self.pool.set_schedulable(&id, !self.leaving.contains(&id));
+            self.pool.set_schedulable(&id, !self.excluded.contains(&id));
             self.dirty = true;
         }
         let expired: Vec<TaskId> = self
--- a/src/placement/scheduler/outcomes.rs
+++ b/src/placement/scheduler/outcomes.rs
@@ -5,7 +5,7 @@
 /// Time since the start of a task up to which its loss counts against the task. It includes the lease of the worker,
 /// which has to expire first: 10 s by default.
 const EARLY_LOSS_AGE: Duration = Duration::from_secs(30);
-/// Consecutive early losses after which a task fails, because it is taken to crash the workers that start it. A task that
+/// Consecutive early losses after which a task fails, because it is presumed to crash the workers that start it. A task that
 /// merely runs beside such a task is started on another worker each time, so it is unlikely to reach this number.
 const MAX_EARLY_LOSSES: u32 = 4;
 const CRASH_REASON: &str = "its workers are lost as it starts";
--- a/src/placement/scheduler/passes.rs
+++ b/src/placement/scheduler/passes.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Places one task of a batch job or service, or a whole all-at-once job.
+    /// Places one task of a batch job or service, or all tasks of an all-at-once job.
     pub(super) fn place_job(
         &mut self,
         now: Instant,
@@ -95,11 +95,11 @@
     }
 
     pub(super) fn within_quota(&self, spec: &JobSpec, need: &ResourceVector) -> bool {
-        let Some(allowed) = self.allowed.get(&spec.workspace) else {
+        let Some(limit) = self.usage_limits.get(&spec.workspace) else {
             return true;
         };
         let used = self.used.get(&spec.workspace).copied().unwrap_or_default();
-        used.saturating_add(need).fits(allowed)
+        used.saturating_add(need).fits(limit)
     }
 
     pub(super) fn place_task(
--- a/src/placement/scheduler/preemption.rs
+++ b/src/placement/scheduler/preemption.rs
@@ -17,7 +17,8 @@
             return;
         }
         pass.victim_searches += 1;
-        let sets = self.pool.iter().filter(|worker| worker.open && worker.reserved_for.is_none());
+        let sets =
+            self.pool.iter().filter(|worker| worker.schedulable && worker.reserved_for.is_none());
         let sets = sets.filter(|worker| need.fits(&worker.spec.capacity));
         let sets =
             sets.filter_map(|worker| pick_victims(now, worker, need, self.victims_on(worker)));
--- a/src/routing/budget.rs
+++ b/src/routing/budget.rs
@@ -2,7 +2,7 @@
 
 /// Retries allowed for each success.
 const RETRIES_PER_SUCCESS: f64 = 0.1;
-/// Most retries that the budget can hold.
+/// Maximum number of retries that the budget can hold.
 const MAX_BALANCE: f64 = 10.0;
 
 /// Allows one retry for every ten successes. It starts full.
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -26,7 +26,7 @@
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 /// Longest ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(15);
-/// Reports whose time of sending is kept.
+/// Maximum number of reports whose sending time is kept.
 const MAX_SENT_REPORTS: usize = 64;
 /// Part of the time left to the deadline that the expected wait may take.
 const WAIT_FRACTION: f64 = 0.8;
@@ -165,9 +165,10 @@
     waiting_by_workspace: BTreeMap<WorkspaceId, usize>,
     leaving: BTreeSet<UpstreamId>,
     token: Option<FencingToken>,
-    applied: u64,
+    applied_version: u64,
     shares_until: Option<Instant>,
-    sent: BTreeMap<u64, Instant>,
+    /// Sending times of recent reports by number.
+    sent_reports: BTreeMap<u64, Instant>,
     seq: u64,
     budget: RetryBudget,
     timing: TimingSettings,
@@ -187,9 +188,9 @@
             waiting_by_workspace: BTreeMap::new(),
             leaving: BTreeSet::new(),
             token: None,
-            applied: 0,
+            applied_version: 0,
             shares_until: None,
-            sent: BTreeMap::new(),
+            sent_reports: BTreeMap::new(),
             seq: 0,
             budget: RetryBudget::default(),
             timing,
@@ -224,11 +225,11 @@
     /// Slots that this entry may be using now, by upstream; for checks over several entries.
     pub fn usable_slots(&self, now: Instant) -> BTreeMap<UpstreamId, u32> {
         let holds = self.holds_shares(now);
-        let reach = |state: &UpstreamState| match holds {
+        let usable = |state: &UpstreamState| match holds {
             true => state.share.max(state.in_use),
             false => state.in_use,
         };
-        self.all_upstreams().map(|state| (state.spec.id.clone(), reach(state))).collect()
+        self.all_upstreams().map(|state| (state.spec.id.clone(), usable(state))).collect()
     }
 
     /// Takes one retry out of the budget and tells whether there was one.
@@ -293,8 +294,8 @@
         }
         let service = self.services.get(service)?;
         let usable = service.upstreams.values().filter(|upstream| {
-            let remains = self.leaving.is_empty() || !self.leaving.contains(&upstream.spec.id);
-            upstream.listed && remains && upstream.free(now) > 0
+            let not_leaving = self.leaving.is_empty() || !self.leaving.contains(&upstream.spec.id);
+            upstream.listed && not_leaving && upstream.free(now) > 0
         });
         let best = usable.min_by_key(|upstream| upstream.in_use * 1_024 / upstream.share.max(1));
         best.map(|upstream| upstream.spec.clone())
--- a/src/routing/router/grants.rs
+++ b/src/routing/router/grants.rs
@@ -6,9 +6,9 @@
     /// Creates the next report to the leader, which asks for shares.
     pub fn report(&mut self, now: Instant) -> DemandReport {
         self.seq += 1;
-        self.sent.insert(self.seq, now);
-        while self.sent.len() > MAX_SENT_REPORTS {
-            self.sent.pop_first();
+        self.sent_reports.insert(self.seq, now);
+        while self.sent_reports.len() > MAX_SENT_REPORTS {
+            self.sent_reports.pop_first();
         }
         let used_upstreams =
             self.all_upstreams().filter(|state| state.share > 0 || state.in_use > 0);
@@ -27,7 +27,7 @@
             boot: self.boot,
             seq: self.seq,
             token: self.token.clone(),
-            applied: self.applied,
+            applied: self.applied_version,
             holdings,
             demand: demand.filter(|(_, count)| *count > 0).collect(),
         }
@@ -35,18 +35,18 @@
 
     /// Applies a grant; grants of leaders with lower tokens and outdated grants are ignored.
     pub fn apply(&mut self, now: Instant, grant: &ShareGrant) -> Vec<RouteAction> {
-        let Some(sent) = self.sent.get(&grant.answers).copied() else {
+        let Some(sent_at) = self.sent_reports.get(&grant.answers).copied() else {
             return Vec::new();
         };
         match &self.token {
             Some(token) if grant.token < *token => return Vec::new(),
-            Some(token) if grant.token == *token && grant.version < self.applied => {
+            Some(token) if grant.token == *token && grant.version < self.applied_version => {
                 return Vec::new();
             }
             Some(token) if grant.token == *token => {}
             _ => {
                 self.token = Some(grant.token.clone());
-                self.applied = 0;
+                self.applied_version = 0;
                 self.shares_until = None;
             }
         }
@@ -55,16 +55,16 @@
         }
         match &grant.shares {
             Some(shares) => {
-                self.applied = grant.version;
+                self.applied_version = grant.version;
                 let services = self.services.values_mut();
                 for state in services.flat_map(|service| service.upstreams.values_mut()) {
                     state.share = shares.get(&state.spec.id).copied().unwrap_or(0);
                 }
             }
-            None if grant.version != self.applied => return Vec::new(),
+            None if grant.version != self.applied_version => return Vec::new(),
             None => {}
         }
-        let until = sent + grant.ttl;
+        let until = sent_at + grant.ttl;
         self.shares_until = Some(self.shares_until.map_or(until, |before| before.max(until)));
         self.tick(now)
     }
--- a/src/routing/shares.rs
+++ b/src/routing/shares.rs
@@ -13,7 +13,7 @@
 
 #[derive(Debug, Default)]
 struct EntryState {
-    /// Whether it has sent a report to this leader.
+    /// Whether the entry has sent a report to this leader.
     has_reported: bool,
     boot: u64,
     /// Number of its last report.
@@ -22,7 +22,8 @@
     acknowledged: bool,
     version: u64,
     granted: BTreeMap<UpstreamId, u32>,
-    /// The most slots of each upstream that it may hold until it acknowledges the last grant.
+    /// Maximum number of slots of each upstream that the entry may hold until it acknowledges the last
+    /// grant.
     outstanding: BTreeMap<UpstreamId, u32>,
     demand: BTreeMap<ServiceId, u32>,
     last_grant: Option<Instant>,
@@ -39,13 +40,13 @@
 pub struct ShareTable {
     timing: TimingSettings,
     token: FencingToken,
-    since: Instant,
+    leading_since: Instant,
     /// Entries of the domain, all of which may hold shares.
     entries: BTreeMap<EntryId, EntryState>,
     upstreams: BTreeMap<UpstreamId, UpstreamSpec>,
     upstreams_version: u64,
     /// Whether only the even split may be granted, because the lease in the store is not held.
-    detached: bool,
+    even_split_only: bool,
 }
 
 impl ShareTable {
@@ -61,17 +62,17 @@
         Self {
             timing,
             token,
-            since: now,
+            leading_since: now,
             entries,
             upstreams: BTreeMap::new(),
             upstreams_version: 1,
-            detached: false,
+            even_split_only: false,
         }
     }
 
     /// Sets whether only the even split may be granted.
-    pub fn set_even_split_only(&mut self, detached: bool) {
-        self.detached = detached;
+    pub fn set_even_split_only(&mut self, even_split_only: bool) {
+        self.even_split_only = even_split_only;
     }
 
     /// Replaces the list of upstreams.
@@ -89,7 +90,7 @@
         self.upstreams.values()
     }
 
-    /// Clears the shares of an entry whose process has certainly ended.
+    /// Clears the shares of an entry whose process is certain to have ended.
     pub fn reset_entry(&mut self, entry: &EntryId) {
         if let Some(state) = self.entries.get_mut(entry) {
             *state = EntryState { has_reported: true, acknowledged: true, ..EntryState::default() };
@@ -152,17 +153,17 @@
         }
     }
 
-    /// The most slots of an upstream that an entry may be using.
+    /// Maximum number of slots of an upstream that an entry may be using.
     fn outstanding(&self, now: Instant, entry: &EntryId, spec: &UpstreamSpec) -> u32 {
         let Some(state) = self.entries.get(entry) else {
             return 0;
         };
         let max_share_age = self.timing.share_ttl + self.timing.attempt_limit;
         match state {
-            state if !state.has_reported && now < self.since + max_share_age => spec.slots,
+            state if !state.has_reported && now < self.leading_since + max_share_age => spec.slots,
             state if !state.has_reported => self.even_share(entry, spec),
             state => {
-                let last = state.last_grant.unwrap_or(self.since);
+                let last = state.last_grant.unwrap_or(self.leading_since);
                 match now < last + max_share_age {
                     true => state.outstanding.get(&spec.id).copied().unwrap_or(0),
                     false => 0,
@@ -245,7 +246,7 @@
             let others = self.entries.keys().filter(|other| *other != entry);
             let held: u32 = others.map(|other| self.outstanding(now, other, spec)).sum();
             let free = spec.slots.saturating_sub(held);
-            let wanted = match self.detached {
+            let wanted = match self.even_split_only {
                 true => self.even_share(entry, spec),
                 false => self.demand_share(now, entry, spec),
             };
--- a/src/standin/server.rs
+++ b/src/standin/server.rs
@@ -365,7 +365,8 @@
     }
 }
 
-/// A request in progress. Ends it at the upstream also when its connection closes before the answer.
+/// A request in progress. When dropped, it ends at the upstream, even if its connection closes before the
+/// answer.
 struct OpenRequest {
     context: StandInContext,
     name: String,
--- a/src/standin/store.rs
+++ b/src/standin/store.rs
@@ -11,12 +11,12 @@
 /// How the store fails.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum StoreFault {
-    /// It works.
+    /// All calls succeed.
     #[default]
     None,
-    /// It refuses all calls.
+    /// The store refuses all calls.
     Down,
-    /// It carries out writes but does not answer them.
+    /// The store carries out writes but does not answer them.
     LostAnswers,
 }
 
--- a/src/standin/upstream.rs
+++ b/src/standin/upstream.rs
@@ -5,13 +5,13 @@
 /// Counters of an upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct UpstreamCount {
-    /// Requests begun.
+    /// Requests started.
     pub begun: u64,
     /// Requests answered.
     pub answered: u64,
     /// Largest number of requests at a time.
     pub max_concurrent: u32,
-    /// Requests begun while all slots were in use.
+    /// Requests started while all slots were in use.
     pub over_slots: u64,
 }
 
@@ -21,7 +21,7 @@
     slots: u32,
     in_use: u32,
     count: UpstreamCount,
-    /// Number of times each marked request was begun.
+    /// Number of times each marked request was started.
     marks: BTreeMap<String, u32>,
 }
 
@@ -55,7 +55,7 @@
         self.count
     }
 
-    /// Number of times each marked request was begun.
+    /// Number of times each marked request was started.
     pub fn marks(&self) -> &BTreeMap<String, u32> {
         &self.marks
     }
--- a/tests/decisions/scenarios.rs
+++ b/tests/decisions/scenarios.rs
@@ -124,7 +124,7 @@
             "start" => world.start(&entry),
             "pause" => world.pause(&entry),
             "wake" => world.resume(&entry),
-            _ => world.handle_event(&entry, DomainEvent::Leave),
+            _ => world.handle_event(&entry, DomainEvent::Drain),
         }
         Ok(String::new())
     }
--- a/tests/decisions/world.rs
+++ b/tests/decisions/world.rs
@@ -293,7 +293,7 @@
         let version = head.as_ref().map_or(1, |stored| stored.version + 1);
         if reaches && state.seen_head != version {
             state.seen_head = version;
-            events.push(DomainEvent::Head(head));
+            events.push(DomainEvent::ConfigHead(head));
         }
         if reaches && now >= state.next_vms {
             state.next_vms = now + Duration::from_millis(500);
