--- a/src/domain/controller.rs
+++ b/src/domain/controller.rs
@@ -55,6 +55,7 @@
     pub(crate) settled: bool,
     /// Upstreams that are tasks of services, by task.
     pub(crate) endpoints: BTreeMap<TaskId, UpstreamSpec>,
+    /// Actions that wait for a commit, by its ticket.
     pub(crate) waiters: BTreeMap<u64, Vec<CommitWaiter>>,
     /// Ended tasks that are being made durable before the worker drops them.
     pub(crate) forgetting: BTreeSet<(WorkerId, TaskId, Attempt)>,
@@ -493,7 +494,7 @@
             }
         }
         self.listed_upstreams = upstreams;
-        self.fleet.list(now, &workers);
+        self.fleet.update_workers(now, &workers);
         self.exclude_unavailable_workers();
         self.update_upstreams();
         let leaving = self.leaving_upstreams.clone();
@@ -509,7 +510,7 @@
             leader.scheduler.pool().iter().map(|worker| worker.spec.id.clone()).collect();
         for id in ids {
             let excluded = self.leaving_workers.contains(&id) || self.silent_workers.contains(&id);
-            leader.scheduler.set_leaving(&id, excluded);
+            leader.scheduler.set_excluded(&id, excluded);
         }
     }
 
--- a/src/domain/peers.rs
+++ b/src/domain/peers.rs
@@ -354,8 +354,11 @@
         let outputs = self.config.on_peer_revision(peer, revision);
         self.apply_config_outputs(now, outputs);
         if let Some(leader_status) = leading.filter(|_| same_domain) {
-            let actions =
-                self.leadership.on_leader(now, &leader_status.token, leader_status.lease_version);
+            let actions = self.leadership.on_leader_heartbeat(
+                now,
+                &leader_status.token,
+                leader_status.lease_version,
+            );
             self.apply_leadership_actions(now, actions);
             self.request_missing_records(peer, &leader_status);
         }
--- a/src/domain/quota.rs
+++ b/src/domain/quota.rs
@@ -336,7 +336,7 @@
                     Some(part)
                 }
             };
-            leader.scheduler.allow(&workspace, part);
+            leader.scheduler.set_usage_limit(&workspace, part);
         }
     }
 
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -169,7 +169,7 @@
     }
 
     /// Updates the workers from the platform's list for this failure domain.
-    pub fn list(&mut self, now: Instant, workers: &[(WorkerSpec, SocketAddr)]) {
+    pub fn update_workers(&mut self, now: Instant, workers: &[(WorkerSpec, SocketAddr)]) {
         self.listed = true;
         let names: BTreeSet<&WorkerId> = workers.iter().map(|(spec, _)| &spec.id).collect();
         for member in self.members.values_mut() {
--- a/src/leadership/role.rs
+++ b/src/leadership/role.rs
@@ -42,7 +42,7 @@
     last_version: Option<(KeyVersion, Instant, Duration)>,
     /// Last record read; `None` if there was none or it is outdated.
     record: Option<LeaseRecord>,
-    /// When the last message of the leader arrived.
+    /// When the last heartbeat of the leader arrived.
     leader_seen_at: Instant,
     /// When the lease is to be read or acquired next.
     next_check: Instant,
@@ -239,8 +239,8 @@
         now < self.store_answered + self.timing.lease_ttl
     }
 
-    /// Handles a message of the leader; the lease version in it counts as if it had been read.
-    pub fn on_leader(
+    /// Handles a heartbeat of the leader; the lease version in it counts as if it had been read.
+    pub fn on_leader_heartbeat(
         &mut self,
         now: Instant,
         token: &FencingToken,
--- a/src/ledger/segment.rs
+++ b/src/ledger/segment.rs
@@ -23,13 +23,13 @@
 #[derive(Deserialize, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum KeyState {
-    /// It may be running or have run.
+    /// The request may be running or have run.
     Started,
-    /// It certainly did not run; the key may be used again.
+    /// The request certainly did not run; the key may be used again.
     NotRun,
-    /// It ran and this was the answer.
+    /// The request ran, and this was the answer.
     Answered(StoredAnswer),
-    /// It ran, and its answer could not be kept.
+    /// The request ran, and its answer could not be stored.
     Ended,
 }
 
@@ -53,13 +53,13 @@
     /// Merges two records of one key. A record of a request that certainly ran takes precedence, then
     /// one of a request that may have run.
     pub(crate) fn merge(self, other: Self) -> Self {
-        let weight = |record: &Self| match record.state {
+        let rank = |record: &Self| match record.state {
             KeyState::Answered(_) => 3,
             KeyState::Ended => 2,
             KeyState::Started => 1,
             KeyState::NotRun => 0,
         };
-        match weight(&self) >= weight(&other) {
+        match rank(&self) >= rank(&other) {
             true => self,
             false => other,
         }
--- a/src/placement/estimate.rs
+++ b/src/placement/estimate.rs
@@ -61,21 +61,21 @@
     pub fn need(&self, spec: &JobSpec) -> ResourceVector {
         match self.intents.get(&spec.intent) {
             Some(estimate) if estimate.samples >= MIN_SIZE_SAMPLES && !estimate.declared_only => {
-                corrected_need(&spec.need, &estimate.peak)
+                reduced_need(&spec.need, &estimate.peak)
             }
             _ => spec.need,
         }
     }
 }
 
-fn corrected_need(declared: &ResourceVector, peak: &ResourceVector) -> ResourceVector {
-    let shrink = |declared: u32, peak: u32| {
+fn reduced_need(declared: &ResourceVector, peak: &ResourceVector) -> ResourceVector {
+    let reduce = |declared: u32, peak: u32| {
         let with_margin = peak.saturating_add(peak / 100 * SIZE_MARGIN_PERCENT + 1);
         with_margin.clamp((declared / SIZE_FLOOR_DIVISOR).min(declared), declared)
     };
     ResourceVector::new(
-        shrink(declared.millicores, peak.millicores),
-        shrink(declared.memory_mib, peak.memory_mib),
+        reduce(declared.millicores, peak.millicores),
+        reduce(declared.memory_mib, peak.memory_mib),
         declared.accelerators,
     )
 }
--- a/src/placement/scheduler.rs
+++ b/src/placement/scheduler.rs
@@ -124,6 +124,7 @@
     usage_limits: BTreeMap<WorkspaceId, ResourceVector>,
     estimates: EstimateTable,
     health: HealthTable,
+    /// Tasks that are queued again at a later time.
     delayed: BTreeSet<(Instant, TaskId)>,
     /// Tasks on workers that belong to no job known here.
     strays: BTreeMap<WorkerId, BTreeSet<TaskId>>,
@@ -138,6 +139,7 @@
     movable_allowed: bool,
     /// Attempt numbers of this leader are higher than this.
     attempt_base: Attempt,
+    /// Whether a change since the last pass may allow waiting tasks to start.
     dirty: bool,
     /// Time of day of the last pass.
     unix_now: UnixMillis,
@@ -207,7 +209,7 @@
     }
 
     /// Sets the part of its quota that a workspace may use here; `None` removes the limit.
-    pub fn allow(&mut self, workspace: &WorkspaceId, part: Option<ResourceVector>) {
+    pub fn set_usage_limit(&mut self, workspace: &WorkspaceId, part: Option<ResourceVector>) {
         let before = self.usage_limits.get(workspace).copied();
         match part {
             Some(part) => self.usage_limits.insert(workspace.clone(), part),
@@ -302,7 +304,7 @@
     }
 
     /// Sets whether a worker is leaving or does not answer. Such a worker gets no new work.
-    pub fn set_leaving(&mut self, id: &WorkerId, excluded: bool) {
+    pub fn set_excluded(&mut self, id: &WorkerId, excluded: bool) {
         let changed = match excluded {
             true => self.excluded.insert(id.clone()),
             false => self.excluded.remove(id),
--- a/src/routing/report.rs
+++ b/src/routing/report.rs
@@ -19,7 +19,7 @@
     pub service: ServiceId,
     /// Its address.
     pub address: SocketAddr,
-    /// Requests that it works on at a time.
+    /// Maximum number of requests that it processes concurrently.
     pub slots: u32,
 }
 
@@ -59,7 +59,7 @@
 pub struct ShareGrant {
     /// The leader.
     pub token: FencingToken,
-    /// Number of the report that it answers; the time to live counts from the sending of that report.
+    /// Number of the report that the grant answers; the time to live starts when that report was sent.
     pub answers: u64,
     /// Version of the grant; it rises when the shares or the upstreams change.
     pub version: u64,
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -168,13 +168,13 @@
         let is_superseded =
             self.highest_token.as_ref().is_some_and(|highest_token| request.token < *highest_token);
         let clock = now.saturating_duration_since(self.booted_at);
-        let late = request.not_after.is_some_and(|bound| clock > bound);
+        let is_late = request.not_after.is_some_and(|bound| clock > bound);
         let claim_only = request.not_after.is_none();
         if !is_superseded {
             self.highest_token = Some(request.token.clone());
         }
         let other_boot = request.boot.is_some_and(|boot| boot != self.boot);
-        let accepted = !is_superseded && !late && !other_boot;
+        let accepted = !is_superseded && !is_late && !other_boot;
         if accepted && !claim_only {
             self.renew(now, request);
             for command in &request.commands {
@@ -283,14 +283,14 @@
         Some("fail") => TaskOutcome::Failed("exit code 1".to_owned()),
         _ => TaskOutcome::Succeeded,
     };
-    let time = words.next().and_then(|word| word.parse().ok());
-    let time = time.map_or(DEFAULT_RUN_TIME, Duration::from_millis);
+    let run_time = words.next().and_then(|word| word.parse().ok());
+    let run_time = run_time.map_or(DEFAULT_RUN_TIME, Duration::from_millis);
     WorkerTask {
         attempt,
         need,
         cut_off,
         started: now,
-        ends_at: (!service).then(|| now + time),
+        ends_at: (!service).then(|| now + run_time),
         planned_outcome,
         lease_end,
         outcome: None,
