--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -182,7 +182,7 @@
     );
 }
 
-/// Duration of routing one request, from its arrival to its end.
+/// Duration of the router's decision about one arriving request.
 fn routing() {
     let now = Instant::now();
     let timing = TimingSettings::default();
@@ -548,7 +548,7 @@
     let total = shape.total();
     let bound = 1.0;
     println!(
-        "  {} with more batch work than room: kelplink {:.1}% of the dominant resource, FCFS + FF {:.1}%, volume bound {:.0}%",
+        "  {} with more batch work than capacity: kelplink {:.1}% of the dominant resource, FCFS + FF {:.1}%, volume bound {:.0}%",
         shape.name,
         100.0 * in_use.dominant_share(&total),
         100.0 * first_fit_in_use.dominant_share(&total),
--- a/benches/system.rs
+++ b/benches/system.rs
@@ -469,7 +469,7 @@
     let cpu_time = cluster.entries[0].usage()?.0 - cpu_before;
     let quantile_ms = |h: &Histogram<u64>, q| h.value_at_quantile(q) as f64 / 1e3;
     println!(
-        "  {rate} a second: through the entry p50 {:.2} ms p99 {:.2} ms, straight to an upstream p50 {:.2} ms p99 {:.2} ms; \
+        "  {rate} a second: through the entry p50 {:.2} ms p99 {:.2} ms, directly to an upstream p50 {:.2} ms p99 {:.2} ms; \
          added p50 {:.2} ms; {:.0} us of processor time a request; {} answers",
         quantile_ms(&via_entry, 0.5),
         quantile_ms(&via_entry, 0.99),
--- a/src/callers.rs
+++ b/src/callers.rs
@@ -15,7 +15,7 @@
 pub(crate) use caller_loop::CallerLoop;
 pub(crate) use context::CallerInput;
 pub(crate) use context::{CallerContext, RouterState};
-pub(crate) use limit::collect;
+pub(crate) use limit::collect_body;
 
 /// Header with the request's id, sent to the upstream and returned by it.
 pub(crate) const REQUEST_ID_HEADER: &str = "kelplink-request-id";
--- a/src/callers/caller_loop.rs
+++ b/src/callers/caller_loop.rs
@@ -55,7 +55,7 @@
     }
 
     /// Runs until it is stopped and all requests in flight have finished. Returns false if requests in
-    /// flight were cut.
+    /// flight were aborted.
     ///
     /// # Errors
     /// Returns an error if the listener cannot be used.
@@ -73,7 +73,7 @@
         tokio::select! {
             drained = server => {
                 if !drained {
-                    warn!("the time limit of a planned stop cut requests in flight");
+                    warn!("requests in flight were aborted at the time limit of the planned stop");
                 }
                 Ok(drained)
             }
--- a/src/callers/context.rs
+++ b/src/callers/context.rs
@@ -92,6 +92,7 @@
 #[derive(Clone)]
 pub(crate) struct CallerContext {
     pub(crate) entry: EntryId,
+    /// Number that differs between starts of the process.
     pub(crate) boot: u64,
     pub(crate) router_state: Arc<Mutex<RouterState>>,
     pub(crate) control: ControlHandle,
--- a/src/callers/dispatch.rs
+++ b/src/callers/dispatch.rs
@@ -32,7 +32,7 @@
 
 /// Maximum number of attempts for one request.
 const MAX_ATTEMPTS: u32 = 3;
-/// Margin added to the time limit of an attempt before the attempt is known to have ended.
+/// Margin after the time limit of an attempt; once it has passed, the attempt has ended.
 const ATTEMPT_MARGIN: Duration = Duration::from_millis(200);
 /// Value of `Retry-After` after a failure.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -218,12 +218,12 @@
         let time_left = self.identity.deadline.saturating_duration_since(started);
         let limit = limit.min(time_left).max(Duration::from_millis(1));
         let ended = started + limit + ATTEMPT_MARGIN;
-        let end = match self.upstream_request(spec, limit) {
+        let result = match self.upstream_request(spec, limit) {
             Ok(request) => pool.send(request, limit, self.context.limits.answer_bytes).await,
             Err(detail) => Err(ClientError::NotSent(detail)),
         };
         let time = started.elapsed();
-        let (outcome, end) = match end {
+        let (outcome, end) = match result {
             Ok(response) => match self.matches_attempt(&response) {
                 true => {
                     (RouteOutcome::Answered, AttemptEnd::Answered(self.caller_response(response)))
--- a/src/callers/identify.rs
+++ b/src/callers/identify.rs
@@ -35,6 +35,7 @@
     pub(crate) workspace: WorkspaceId,
     /// Path and query for the upstream.
     pub(crate) target: String,
+    /// Rank at the router: 0 for urgent requests, 1 for all others.
     pub(crate) rank: u8,
     pub(crate) deadline: Instant,
     pub(crate) idempotent: bool,
--- a/src/callers/jobs.rs
+++ b/src/callers/jobs.rs
@@ -10,7 +10,7 @@
 use serde::Deserialize;
 
 use crate::callers::context::CallerContext;
-use crate::callers::limit::collect;
+use crate::callers::limit::collect_body;
 use crate::intent_file::{MAX_TASKS, is_name};
 use crate::message::{CallRefusal, ClientAnswer, ClientCall, JobRequest};
 use crate::problem::{ProblemDetails, RunState, json_response};
@@ -59,7 +59,7 @@
     let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
     let call = match (method.as_str(), parts.as_slice()) {
         ("POST", ["v1", "workspaces", workspace, "jobs"]) => {
-            let bytes = collect(body, &context.limits).await?;
+            let bytes = collect_body(body, &context.limits).await?;
             decode_submit(workspace, &bytes)?
         }
         ("GET", ["v1", "workspaces", workspace, "jobs"]) => {
@@ -130,22 +130,24 @@
 }
 
 fn refusal_problem(refusal: &CallRefusal) -> ProblemDetails {
-    let no = RunState::No;
+    let not_run = RunState::No;
     match refusal {
         CallRefusal::NoLeader => {
-            unavailable("no leader of its failure domain can be reached").ran(no)
+            unavailable("no leader of its failure domain can be reached").ran(not_run)
         }
-        CallRefusal::StoreDown => unavailable("the platform's store cannot be reached").ran(no),
-        CallRefusal::Busy => unavailable("too much waits").ran(no),
+        CallRefusal::StoreDown => {
+            unavailable("the platform's store cannot be reached").ran(not_run)
+        }
+        CallRefusal::Busy => unavailable("too much waits").ran(not_run),
         CallRefusal::NotFound(detail) => {
-            ProblemDetails::new(StatusCode::NOT_FOUND, "not found", detail.as_str()).ran(no)
+            ProblemDetails::new(StatusCode::NOT_FOUND, "not found", detail.as_str()).ran(not_run)
         }
         CallRefusal::Contradiction(detail) => {
-            ProblemDetails::new(StatusCode::CONFLICT, "contradiction", detail.as_str()).ran(no)
+            ProblemDetails::new(StatusCode::CONFLICT, "contradiction", detail.as_str()).ran(not_run)
         }
         CallRefusal::Impossible(detail) => {
             let status = StatusCode::UNPROCESSABLE_ENTITY;
-            ProblemDetails::new(status, "can never run", detail.as_str()).ran(no)
+            ProblemDetails::new(status, "can never run", detail.as_str()).ran(not_run)
         }
         CallRefusal::Unknown => {
             let detail = "no answer in time; ask for the job or repeat the call with the same id";
--- a/src/callers/limit.rs
+++ b/src/callers/limit.rs
@@ -33,7 +33,7 @@
         Box::pin(async move {
             let limits = CallerContext::borrow_from(&state).limits;
             let body = Body::try_take_from(&mut state).unwrap_or_default();
-            match collect(body, &limits).await {
+            match collect_body(body, &limits).await {
                 Ok(bytes) => {
                     state.put(CollectedBody(bytes));
                     chain(state).await
@@ -48,7 +48,10 @@
 }
 
 /// Collects a body within the limits on its size and time.
-pub(crate) async fn collect(body: Body, limits: &LimitSettings) -> Result<Bytes, ProblemDetails> {
+pub(crate) async fn collect_body(
+    body: Body,
+    limits: &LimitSettings,
+) -> Result<Bytes, ProblemDetails> {
     let limited = Limited::new(body, limits.request_bytes).collect();
     match timeout(limits.body_time, limited).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
--- a/src/client.rs
+++ b/src/client.rs
@@ -48,11 +48,11 @@
         Self::with_connect_time(CONNECT_TIMEOUT)
     }
 
-    /// Creates a client with an empty pool and `time` as the timeout for establishing a connection.
-    pub(crate) fn with_connect_time(time: Duration) -> Self {
+    /// Creates a client with an empty pool and the given timeout for establishing a connection.
+    pub(crate) fn with_connect_time(connect_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(time));
+        connector.set_connect_timeout(Some(connect_timeout));
         connector.set_keepalive(Some(UNACKNOWLEDGED_TIMEOUT));
         connector.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
         let client = Client::builder(TokioExecutor::new())
@@ -67,12 +67,12 @@
     pub(crate) async fn send(
         &self,
         request: Request<Full<Bytes>>,
-        time: Duration,
+        time_limit: Duration,
         max_bytes: usize,
     ) -> Result<Response<Bytes>> {
-        match timeout(time, self.exchange(request, max_bytes)).await {
+        match timeout(time_limit, self.exchange(request, max_bytes)).await {
             Ok(result) => result,
-            Err(_) => Err(ClientError::NoAnswer(format!("no answer within {time:?}"))),
+            Err(_) => Err(ClientError::NoAnswer(format!("no answer within {time_limit:?}"))),
         }
     }
 
@@ -100,7 +100,7 @@
         address: SocketAddr,
         path: &str,
         body: impl Into<Bytes>,
-        time: Duration,
+        time_limit: Duration,
         max_bytes: usize,
     ) -> Result<Response<Bytes>> {
         let body = body.into();
@@ -109,7 +109,7 @@
             .uri(format!("http://{address}{path}"))
             .body(Full::new(body))
             .map_err(|error| ClientError::NotSent(error.to_string()))?;
-        self.send(request, time, max_bytes).await
+        self.send(request, time_limit, max_bytes).await
     }
 }
 
--- a/src/command.rs
+++ b/src/command.rs
@@ -115,7 +115,7 @@
 fn check_settings(path: &Path) -> Result<ExitCode> {
     match load_settings(path)? {
         Ok(_) => {
-            print_line!("{}: no findings", path.display());
+            print_line!("{}: no errors", path.display());
             Ok(ExitCode::SUCCESS)
         }
         Err(diagnostics) => {
@@ -145,7 +145,7 @@
             let drain = std::thread::spawn(move || process.drain());
             while !drain.is_finished() {
                 if second_signal.is_finished() {
-                    eprintln!("kelplink: second signal: requests in flight are cut");
+                    eprintln!("kelplink: second signal: requests in flight are aborted");
                     return Ok(ExitCode::from(EXIT_FAILED));
                 }
                 sleep(WATCH_INTERVAL);
@@ -345,7 +345,11 @@
         true => print_line!("{}", body_text(&response)),
         false => {
             let view: JobView = serde_json::from_slice(response.body())?;
-            print_line!("{} is cancelled; {} tasks still stop", cancel.job, view.running.len());
+            print_line!(
+                "{} is cancelled; {} tasks are still stopping",
+                cancel.job,
+                view.running.len()
+            );
         }
     }
     Ok(ExitCode::SUCCESS)
--- a/src/config/assignment.rs
+++ b/src/config/assignment.rs
@@ -30,8 +30,8 @@
     }
 }
 
-/// Splits the tasks evenly; the home domain and the domains after it get one more until the remainder
-/// is used up.
+/// Splits the tasks evenly; the home domain and the domains after it each get one more task until the
+/// remainder is used up.
 fn split_count(count: u32, name: &str, domain: &DomainId, domains: &[DomainId]) -> u32 {
     let domain_count = u32::try_from(domains.len()).unwrap_or(1).max(1);
     let index_of = |wanted: &DomainId| {
--- a/src/config/controller.rs
+++ b/src/config/controller.rs
@@ -12,7 +12,7 @@
 use crate::id::{CallId, DomainId, EntryId, KeyVersion, Revision};
 use crate::store::{StoreOutcome, StoreRequest, StoredValue};
 
-/// How long an entry that starts while the store is down learns the revision from its peers before it
+/// How long an entry that starts while the store is down collects revisions from its peers before it
 /// serves.
 const PEER_LEARN_TIME: Duration = Duration::from_secs(2);
 /// Pause before a call that the store did not answer is repeated.
--- a/src/config/revision.rs
+++ b/src/config/revision.rs
@@ -96,7 +96,9 @@
     pub fn adopt(&mut self, config: ConfigRevision) -> bool {
         let higher = config.revision > self.config.revision;
         let differs = config.revision == self.config.revision && config != self.config;
-        invariant::holds(!differs, "revisions", || format!("two revisions {}", config.revision));
+        invariant::check(!differs, "revisions", || {
+            format!("two configurations with revision {}", config.revision)
+        });
         if higher {
             self.config = config;
         }
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -128,7 +128,7 @@
 /// Runs the demo and returns whether all its checks passed.
 ///
 /// # Errors
-/// If the demo cannot be started or a request of the demo itself fails.
+/// Returns an error if the demo cannot be started or a request of the demo itself fails.
 pub(crate) fn run_demo(settings: &DemoSettings, metrics: PrometheusHandle) -> Result<bool> {
     let started = Instant::now();
     let address_count = 2 + WORKER_COUNT + UPSTREAM_COUNT + 3 * 7;
@@ -157,7 +157,7 @@
     let stopped_process = entries.first().and_then(|entry| processes.remove(&entry.name));
     let drained = stopped_process.is_none_or(EntryProcess::drain);
     println!(
-        "planned stop of {}: requests cut: {}",
+        "planned stop of {}: requests aborted: {}",
         entries[0].name,
         if drained { "none" } else { "some" }
     );
@@ -243,7 +243,7 @@
         Self(vec![
             ("all entries were ready", ready),
             ("all plans were confirmed", confirmed),
-            ("the planned stop cut no request", drained),
+            ("the planned stop aborted no request", drained),
             ("every request had an answer", report.calls.unanswered == 0),
             ("every answer was complete and belonged to its request", report.calls.mismatched == 0),
             ("no request had an unknown outcome", report.calls.unknown == 0),
--- a/src/demo/load.rs
+++ b/src/demo/load.rs
@@ -31,7 +31,7 @@
 /// Interval between two polls while waiting for a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Outcomes of the requests.
+/// Outcomes of the requests. A mark, the value of the `x-mark` header, identifies a request.
 #[derive(Debug, Default)]
 pub(crate) struct CallReport {
     /// Complete answers that belong to their request.
--- a/src/entry/control.rs
+++ b/src/entry/control.rs
@@ -51,13 +51,13 @@
         Self { control }
     }
 
-    /// Sends a call and waits for its answer, for at most `time`.
-    pub(crate) async fn call(&self, call: ClientCall, time: Duration) -> ClientAnswer {
+    /// Sends a call and waits for its answer, up to `time_limit`.
+    pub(crate) async fn call(&self, call: ClientCall, time_limit: Duration) -> ClientAnswer {
         let (sender, receiver) = oneshot::channel();
         if self.control.offer(ControlInput::Call(call, sender)).is_err() {
             return ClientAnswer::Refused(CallRefusal::Busy);
         }
-        match timeout(time, receiver).await {
+        match timeout(time_limit, receiver).await {
             Ok(Ok(answer)) => answer,
             _ => ClientAnswer::Refused(CallRefusal::Unknown),
         }
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -149,7 +149,7 @@
     response
 }
 
-/// Collects the state of the control and the callers' loop; a loop that does not answer in time is
+/// Collects the state of the control loop and the caller loop; a loop that does not answer in time is
 /// reported as stuck.
 async fn dump(context: &OperatorContext) -> Value {
     let (sender, receiver) = oneshot::channel();
@@ -175,7 +175,7 @@
         body_time: BODY_TIMEOUT,
         ..Default::default()
     };
-    let bytes = crate::callers::collect(body, &limits).await?;
+    let bytes = crate::callers::collect_body(body, &limits).await?;
     String::from_utf8(bytes.to_vec()).map_err(|error| {
         ProblemDetails::new(StatusCode::BAD_REQUEST, "not UTF-8", error.to_string())
     })
--- a/src/entry/process.rs
+++ b/src/entry/process.rs
@@ -30,8 +30,8 @@
 const CONTROL_RING_CAPACITY: usize = 8_192;
 /// Capacity of each of the other rings.
 const LOOP_RING_CAPACITY: usize = 4_096;
-/// How long a draining entry goes on accepting connections after it stops reporting itself ready, so
-/// that the load balancer notices.
+/// How long a draining entry still accepts connections after it has stopped reporting itself ready, so
+/// that the load balancer detects the change first.
 const NOT_READY_TIME: Duration = Duration::from_millis(1_000);
 /// Time for the last messages to peers and the store to be sent before the threads end.
 const FLUSH_TIME: Duration = Duration::from_millis(500);
@@ -144,7 +144,7 @@
     }
 
     /// Performs a planned stop: reports itself not ready, hands over leadership, finishes the requests
-    /// in flight, and ends all threads. Returns false if requests were cut.
+    /// in flight, and ends all threads. Returns false if requests were aborted.
     pub fn drain(mut self) -> bool {
         info!("{}: planned stop", self.name);
         let _ = self.control.offer(DomainEvent::Leave.into());
--- a/src/http.rs
+++ b/src/http.rs
@@ -45,7 +45,7 @@
     pub(crate) connections: usize,
     /// Timeout for the head of a request to arrive.
     pub(crate) head_time: Duration,
-    /// How long a stop waits at most for requests in flight.
+    /// Maximum time that a stop waits for requests in flight.
     pub(crate) drain: Duration,
 }
 
--- a/src/invariant.rs
+++ b/src/invariant.rs
@@ -9,7 +9,7 @@
 /// Checks that `condition` is true and returns it, so that the caller can abandon the action.
 ///
 /// A broken invariant is logged and counted; with debug assertions enabled it also panics.
-pub(crate) fn holds(condition: bool, name: &'static str, detail: impl FnOnce() -> String) -> bool {
+pub(crate) fn check(condition: bool, name: &'static str, detail: impl FnOnce() -> String) -> bool {
     if !condition {
         let detail = detail();
         BROKEN_COUNT.fetch_add(1, Ordering::Relaxed);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,4 +1,4 @@
-//! kelplink: a cluster scheduler for services, batch jobs and gang-scheduled jobs.
+//! kelplink: a cluster scheduler for mixed workloads: services, batch jobs and gang-scheduled jobs.
 //!
 //! All decisions are made by state machines that perform no I/O: they take events and the current
 //! time, and return actions. Entry processes, tests and benchmarks run the same code, and other
--- a/src/message.rs
+++ b/src/message.rs
@@ -82,8 +82,8 @@
     },
     /// Requests all records, because a follower missed a group.
     AskRecords,
-    /// Request of a leader without a lease to the leader of another failure domain not to take over
-    /// its tasks.
+    /// Asks the leader of another failure domain not to take over the sender's tasks. A leader sends
+    /// it while it has no lease.
     AskHold {
         /// Failure domain of the sender.
         domain: DomainId,
--- a/src/placement/pool.rs
+++ b/src/placement/pool.rs
@@ -154,11 +154,11 @@
             return false;
         };
         let Some(free) = worker.free.checked_sub(&need) else {
-            return invariant::holds(false, "capacity", || {
+            return invariant::check(false, "capacity", || {
                 format!("{task:?} needs {need:?} on {id} with {:?} free", worker.free)
             });
         };
-        if !invariant::holds(!worker.tasks.contains_key(task), "one place", || {
+        if !invariant::check(!worker.tasks.contains_key(task), "one place", || {
             format!("{task:?} already holds a reservation")
         }) {
             return false;
@@ -303,7 +303,7 @@
                 .tasks
                 .values()
                 .fold(ResourceVector::default(), |sum, need| sum.saturating_add(need));
-            invariant::holds(sum.fits(&worker.spec.capacity), "capacity", || {
+            invariant::check(sum.fits(&worker.spec.capacity), "capacity", || {
                 format!("{} has {sum:?} reserved of {:?}", worker.spec.id, worker.spec.capacity)
             })
         })
--- a/src/placement/scheduler/passes.rs
+++ b/src/placement/scheduler/passes.rs
@@ -187,7 +187,7 @@
         need: ResourceVector,
     ) {
         let unplaced = !self.live.contains_key(task);
-        if !invariant::holds(unplaced, "one place", || {
+        if !invariant::check(unplaced, "one place", || {
             format!("{task:?} already holds a reservation")
         }) {
             return;
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Why a ring did not take a value.
+/// Why a ring did not accept a value.
 #[derive(Debug)]
 pub(crate) enum RingError<T> {
     /// The ring is full: the receiving thread is too slow.
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -310,7 +310,7 @@
         let upstream = service.upstreams.get_mut(&spec.id)?;
         let has_free_slot =
             upstream.in_use < upstream.share && upstream.in_use < upstream.spec.slots;
-        if !invariant::holds(has_free_slot, "slots", || {
+        if !invariant::check(has_free_slot, "slots", || {
             format!("requests in flight to {} would exceed its share", spec.id)
         }) {
             return None;
--- a/src/routing/shares.rs
+++ b/src/routing/shares.rs
@@ -233,7 +233,7 @@
             let others = self.entries.keys().filter(|other| *other != entry);
             let sum: u32 = others.map(|other| self.outstanding(now, other, spec)).sum();
             let fits = share == 0 || share + sum <= spec.slots;
-            invariant::holds(fits, "slots", || {
+            invariant::check(fits, "slots", || {
                 format!("{share} of {} for {entry} with {sum} held by others", spec.id)
             })
         })
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -31,7 +31,7 @@
     pub task_lease: Duration,
     /// Time to live of a share of upstream slots.
     pub share_ttl: Duration,
-    /// Interval of the exchanges with a worker for which no commands wait.
+    /// Interval between exchanges with a worker for which no commands are queued.
     pub worker_interval: Duration,
     /// Interval between messages to peers.
     pub peer_interval: Duration,
@@ -123,7 +123,7 @@
     /// Parses and checks settings; on failure the error lists all mistakes, not only the first.
     ///
     /// # Errors
-    /// All diagnostics, in order of position.
+    /// Returns all diagnostics, in order of position.
     pub fn parse(source: &str, text: &str) -> Result<Self> {
         let (table, mut sink) = DiagnosticSink::parse(source, text);
         let mut reader = TableReader::new(&table);
--- a/src/standin/worker.rs
+++ b/src/standin/worker.rs
@@ -211,7 +211,7 @@
                 let mut new_task =
                     start(now, *attempt, *need, command, *cut_off, *service, lease_end);
                 let free = self.capacity.saturating_sub(&self.used());
-                let fits = invariant::holds(need.fits(&free), "capacity", || {
+                let fits = invariant::check(need.fits(&free), "capacity", || {
                     format!("worker has to start {task:?} with {need:?}, free capacity {free:?}")
                 });
                 match fits {
