--- a/src/callers/admit.rs
+++ b/src/callers/admit.rs
@@ -58,7 +58,7 @@
         Box::pin(async move {
             let identity = RequestIdentity::borrow_from(&state);
             let needs_reservation =
-                identity.key.is_some() && !identity.idempotent && !identity.handed_over;
+                identity.key.is_some() && !identity.idempotent && !identity.forwarded;
             if !needs_reservation {
                 state.put(KeyAdmission(None));
                 return chain(state).await;
--- a/src/callers/context.rs
+++ b/src/callers/context.rs
@@ -73,8 +73,8 @@
             };
             if let Some(RouteAction::Send(_, spec)) = undelivered {
                 let outcome = crate::routing::RouteOutcome::Abandoned;
-                let time = std::time::Duration::ZERO;
-                let more_actions = self.router.finish(Instant::now(), &spec.id, outcome, time);
+                let elapsed = std::time::Duration::ZERO;
+                let more_actions = self.router.finish(Instant::now(), &spec.id, outcome, elapsed);
                 self.notify_waiters(more_actions);
             }
         }
--- a/src/callers/dispatch.rs
+++ b/src/callers/dispatch.rs
@@ -222,7 +222,7 @@
             Ok(request) => pool.send(request, limit, self.context.limits.answer_bytes).await,
             Err(detail) => Err(ClientError::NotSent(detail)),
         };
-        let time = started.elapsed();
+        let elapsed = started.elapsed();
         let (outcome, end) = match result {
             Ok(response) => match self.matches_attempt(&response) {
                 true => {
@@ -249,13 +249,13 @@
             tokio::spawn(async move {
                 sleep_until(ended).await;
                 let mut router_state = context.router_state();
-                let actions = router_state.router.finish(Instant::now(), &id, outcome, time);
+                let actions = router_state.router.finish(Instant::now(), &id, outcome, elapsed);
                 router_state.notify_waiters(actions);
             });
             return end;
         }
         let mut router_state = self.context.router_state();
-        let actions = router_state.router.finish(Instant::now(), &spec.id, outcome, time);
+        let actions = router_state.router.finish(Instant::now(), &spec.id, outcome, elapsed);
         router_state.notify_waiters(actions);
         end
     }
@@ -307,12 +307,12 @@
     /// Answers a request for which this entry has no slot: forwards it to another entry with free slots,
     /// or rejects it.
     async fn reject(&self, reason: RejectReason, retry_after: Duration) -> Response<Bytes> {
-        let may_hand_over = matches!(reason, RejectReason::NoUpstream | RejectReason::Overloaded);
-        if may_hand_over && !self.identity.handed_over {
+        let may_forward = matches!(reason, RejectReason::NoUpstream | RejectReason::Overloaded);
+        if may_forward && !self.identity.forwarded {
             let entries =
                 self.context.router_state().peer_slots.get(&self.identity.service).cloned();
             for entry in entries.unwrap_or_default().iter().take(2) {
-                match self.hand_over(entry).await {
+                match self.forward_to_peer(entry).await {
                     AttemptEnd::Answered(response) => return response,
                     AttemptEnd::NotRun(detail) => debug!("{entry} was not reached: {detail}"),
                     AttemptEnd::Unknown(detail, _) => return failure(&detail, RunState::Unknown),
@@ -331,7 +331,7 @@
     }
 
     /// Forwards the request to another entry, which answers it like a request of its own callers.
-    async fn hand_over(&self, entry: &EntryId) -> AttemptEnd {
+    async fn forward_to_peer(&self, entry: &EntryId) -> AttemptEnd {
         let Some(address) = self.context.peers.get(entry) else {
             return AttemptEnd::NotRun("unknown entry".to_owned());
         };
--- a/src/callers/identify.rs
+++ b/src/callers/identify.rs
@@ -41,7 +41,7 @@
     pub(crate) idempotent: bool,
     pub(crate) key: Option<String>,
     /// Whether another entry forwarded the request.
-    pub(crate) handed_over: bool,
+    pub(crate) forwarded: bool,
 }
 
 impl StateData for RequestIdentity {}
@@ -115,7 +115,7 @@
         deadline: Instant::now() + decode_deadline(headers)?,
         idempotent,
         key: decode_key(headers)?,
-        handed_over: headers.contains_key(HANDED_OVER_HEADER),
+        forwarded: headers.contains_key(HANDED_OVER_HEADER),
     })
 }
 
--- a/src/demo/load.rs
+++ b/src/demo/load.rs
@@ -82,10 +82,10 @@
 }
 
 /// Waits until every entry is ready and reports all three failure domains in its status.
-pub(crate) fn wait_ready(entries: &[EntrySettings], time: Duration) -> Result<bool> {
+pub(crate) fn wait_ready(entries: &[EntrySettings], time_limit: Duration) -> Result<bool> {
     block_on(async {
         let http = HttpClient::new();
-        let until = Instant::now() + time;
+        let until = Instant::now() + time_limit;
         while Instant::now() < until {
             let mut ready_count = 0;
             for entry in entries {
@@ -178,11 +178,11 @@
     pub(crate) fn start(
         entries: &[EntrySettings],
         settings: &DemoSettings,
-        time: Duration,
+        duration: Duration,
     ) -> Result<Self> {
         let addresses: Arc<[SocketAddr]> = entries.iter().map(|entry| entry.callers).collect();
         let settings = *settings;
-        let thread = spawn(move || block_on(send_requests(addresses, settings, time)));
+        let thread = spawn(move || block_on(send_requests(addresses, settings, duration)));
         Ok(Self { thread })
     }
 
@@ -194,9 +194,9 @@
 async fn send_requests(
     addresses: Arc<[SocketAddr]>,
     settings: DemoSettings,
-    time: Duration,
+    duration: Duration,
 ) -> Result<CallReport> {
-    let until = Instant::now() + time;
+    let until = Instant::now() + duration;
     let http = HttpClient::new();
     let callers: Vec<_> = (0..settings.callers)
         .map(|number| {
@@ -358,12 +358,16 @@
         Ok(Self { submitted, thread })
     }
 
-    pub(crate) fn finish(self, entries: &[EntrySettings], time: Duration) -> Result<JobReport> {
+    pub(crate) fn finish(
+        self,
+        entries: &[EntrySettings],
+        time_limit: Duration,
+    ) -> Result<JobReport> {
         let mut report = self.thread.join().map_err(|_| anyhow!("the jobs' thread panicked"))??;
         report.submitted = self.submitted.len();
         let addresses = caller_addresses(&entries[1..]);
         let names: Vec<String> = self.submitted.iter().map(|(name, _)| name.clone()).collect();
-        report.succeeded = block_on(wait_jobs(addresses, names, time))?;
+        report.succeeded = block_on(wait_jobs(addresses, names, time_limit))?;
         Ok(report)
     }
 }
@@ -434,10 +438,10 @@
 async fn wait_jobs(
     addresses: Vec<SocketAddr>,
     mut names: Vec<String>,
-    time: Duration,
+    time_limit: Duration,
 ) -> Result<usize> {
     let http = HttpClient::new();
-    let until = Instant::now() + time;
+    let until = Instant::now() + time_limit;
     let mut succeeded = 0;
     let mut entry = 0;
     while !names.is_empty() && Instant::now() < until {
--- a/src/entry/store.rs
+++ b/src/entry/store.rs
@@ -81,9 +81,9 @@
             Some(after) => format!("/watch/{key}?after={after}&wait_ms={wait}"),
             None => format!("/kv/{key}"),
         };
-        let time = WATCH_WAIT + CALL_TIMEOUT;
+        let time_limit = WATCH_WAIT + CALL_TIMEOUT;
         let result =
-            self.http.call(Method::GET, self.address, &path, "", time, MAX_VALUE_BYTES).await;
+            self.http.call(Method::GET, self.address, &path, "", time_limit, MAX_VALUE_BYTES).await;
         let response = result.ok()?;
         let request = StoreRequest::Read { key: key.to_owned() };
         match decode_outcome(&request, response.status(), response.body()) {
--- a/src/message.rs
+++ b/src/message.rs
@@ -92,7 +92,7 @@
         /// Number of the request.
         seq: u64,
     },
-    /// Confirms that the tasks will not be taken over for the hold time, counted from now.
+    /// Confirms that the tasks will not be taken over for the hold time after the request was sent.
     GrantHold {
         /// Number of the request.
         seq: u64,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -18,7 +18,7 @@
     pub domain: DomainId,
     /// Address of its JSON-RPC listener.
     pub address: SocketAddr,
-    /// Address of its listener for callers, to which requests are handed over.
+    /// Address of its listener for callers, to which requests are forwarded.
     pub callers: SocketAddr,
 }
 
