--- a/src/callers/context.rs
+++ b/src/callers/context.rs
@@ -73,8 +73,8 @@
             };
             if let Some(RouteAction::Send(_, spec)) = undelivered {
                 let outcome = crate::routing::RouteOutcome::Abandoned;
-                let time = std::time::Duration::ZERO;
-                let more_actions = self.router.finish(Instant::now(), &spec.id, outcome, time);
+                let elapsed = std::time::Duration::ZERO;
+                let more_actions = self.router.finish(Instant::now(), &spec.id, outcome, elapsed);
                 self.notify_waiters(more_actions);
             }
         }
@@ -92,6 +92,7 @@
 #[derive(Clone)]
 pub(crate) struct CallerContext {
     pub(crate) entry: EntryId,
+    /// Number that differs between starts of the process.
     pub(crate) boot: u64,
     pub(crate) router_state: Arc<Mutex<RouterState>>,
     pub(crate) control: ControlHandle,
--- a/src/callers/identify.rs
+++ b/src/callers/identify.rs
@@ -35,12 +35,13 @@
     pub(crate) workspace: WorkspaceId,
     /// Path and query for the upstream.
     pub(crate) target: String,
+    /// Rank at the router: 0 for urgent requests, 1 for all others.
     pub(crate) rank: u8,
     pub(crate) deadline: Instant,
     pub(crate) idempotent: bool,
     pub(crate) key: Option<String>,
     /// Whether another entry forwarded the request.
-    pub(crate) handed_over: bool,
+    pub(crate) forwarded: bool,
 }
 
 impl StateData for RequestIdentity {}
@@ -114,7 +115,7 @@
         deadline: Instant::now() + decode_deadline(headers)?,
         idempotent,
         key: decode_key(headers)?,
-        handed_over: headers.contains_key(HANDED_OVER_HEADER),
+        forwarded: headers.contains_key(HANDED_OVER_HEADER),
     })
 }
 
