--- a/src/node/action_executor.rs
+++ b/src/node/action_executor.rs
@@ -42,7 +42,8 @@
         self.times.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn wait(&self) -> Duration {
+    /// Timeout of the next call.
+    fn timeout(&self) -> Duration {
         self.lock().wait()
     }
 
@@ -78,7 +79,7 @@
     pub(crate) fn execute(&self, action: GraphAction) {
         let (workers, leader) = (self.workers.clone(), self.leader.clone());
         let (times, sent) = (self.times.clone(), Instant::now());
-        let context = CallContext { epoch: self.epoch, time: times.wait() };
+        let context = CallContext { epoch: self.epoch, timeout: times.timeout() };
         match action {
             GraphAction::Poll { worker, address, until, acked, wait } => {
                 tokio::spawn(async move {
--- a/src/node/callers.rs
+++ b/src/node/callers.rs
@@ -104,7 +104,7 @@
 
 impl CallerRequest<'_> {
     /// Time left to answer the caller.
-    fn caller_timeout(&self) -> Duration {
+    fn time_left(&self) -> Duration {
         let total =
             decode_caller_timeout(self.headers).ok().flatten().unwrap_or(DEFAULT_CALLER_TIMEOUT);
         let margin = ANSWER_MARGIN.min(total / MARGIN_DIVISOR);
@@ -194,7 +194,7 @@
             ProblemDetails::new(status, "no such job can be", errors.join("; ")).ran(RunState::No)
         })?;
         let record = GraphRecord { spec, rule: (**queue).clone(), home: None, share: None };
-        let caller_timeout = request.caller_timeout();
+        let caller_timeout = request.time_left();
         let attempt = rand::random();
         let submission = JobSubmission { attempt, caller_timeout, forced: false, record };
         match self.leader_client.submit(submission, caller_timeout).await {
@@ -211,11 +211,11 @@
     async fn state(&self, request: &CallerRequest<'_>, name: &str) -> Result<Response<Body>> {
         let job = GraphId::from(name);
         let call = LeaderCall::State(job.clone());
-        let answer =
-            match self.leader_client.ask_owner(&job, &call, request.caller_timeout() / 2).await {
-                Ok(answer @ (LeaderAnswer::State(_) | LeaderAnswer::Gone)) => Some(answer),
-                _ => self.leader_client.stored_state(&job).await,
-            };
+        let answer = match self.leader_client.ask_owner(&job, &call, request.time_left() / 2).await
+        {
+            Ok(answer @ (LeaderAnswer::State(_) | LeaderAnswer::Gone)) => Some(answer),
+            _ => self.leader_client.stored_state(&job).await,
+        };
         match answer {
             Some(LeaderAnswer::State(state)) => Ok(encode_state(state)),
             Some(_) => Err(gone(name)),
@@ -226,7 +226,7 @@
     async fn cancel(&self, request: &CallerRequest<'_>, name: &str) -> Result<Response<Body>> {
         let job = GraphId::from(name);
         let call = LeaderCall::Cancel(job.clone());
-        match self.leader_client.ask_owner(&job, &call, request.caller_timeout()).await {
+        match self.leader_client.ask_owner(&job, &call, request.time_left()).await {
             Ok(LeaderAnswer::Cancelled) => {
                 Ok(json_response(StatusCode::OK, &serde_json::json!({})))
             }
@@ -241,7 +241,7 @@
         request: &CallerRequest<'_>,
         queue: &QueueRule,
     ) -> Result<Response<Body>> {
-        match self.leader_client.pending(&queue.id, request.caller_timeout()).await {
+        match self.leader_client.pending(&queue.id, request.time_left()).await {
             Some(pending) => Ok(encode_pending(pending)),
             None => Err(unavailable("the queue cannot be counted now")),
         }
@@ -272,20 +272,20 @@
     }
 }
 
-/// The request violates HTTP, so it is not certain where the next one on the connection begins.
+/// Refusal of a request that violates HTTP, after which it is not certain where the next one on the connection begins.
 fn malformed(detail: &str) -> ProblemDetails {
     let status = StatusCode::BAD_REQUEST;
     ProblemDetails::new(status, "malformed", detail).ran(RunState::No).close_after_response()
 }
 
-/// The request has not been carried out and will not be.
+/// Refusal of a request that has not been carried out and will not be.
 fn unavailable(detail: &str) -> ProblemDetails {
     ProblemDetails::new(StatusCode::SERVICE_UNAVAILABLE, "not taken", detail)
         .ran(RunState::No)
         .retry_after(RETRY_AFTER)
 }
 
-/// The request may have been carried out.
+/// Answer to a request that may have been carried out.
 fn unknown() -> ProblemDetails {
     let detail = "the leader did not answer; the same request may be sent again";
     ProblemDetails::new(StatusCode::GATEWAY_TIMEOUT, "no answer", detail).ran(RunState::Unknown)
--- a/src/node/candidacy.rs
+++ b/src/node/candidacy.rs
@@ -60,7 +60,7 @@
 enum AwaitedEntry {
     /// Entries of a failure domain that is cut off.
     OfDomain,
-    /// A strong machine: none is registered.
+    /// A strong machine, while none is registered.
     Strong,
     /// Entries that rank before this one.
     Ranked,
@@ -175,7 +175,7 @@
                     && leader.epoch > self.last_epoch
                     && registered =>
             {
-                // The previous leader is unknown by now, so it is assumed to run for as long as it possibly can.
+                // The previous leader is unknown by now, so it is assumed to run for as long as any leader can.
                 let predecessor = Some(unknown_leader());
                 let (epoch, epoch_revision) = (leader.epoch, shard_view.epoch_revision);
                 CandidacyState::Won(LeaderTerm { epoch, epoch_revision, predecessor })
@@ -195,9 +195,9 @@
         self.waiting = None;
     }
 
-    /// Returns when this process campaigns if no other entry does so earlier. The time starts over when the awaited
-    /// entries change: counted from the first wait, all others' turns had already come when a cut-off domain was
-    /// reachable again, and that domain lost its leader.
+    /// Returns when this process campaigns if no other entry does so earlier. The wait starts again when the awaited
+    /// entries change. When it was counted from the first wait, the waits of the other domains' entries were already
+    /// over when a cut-off domain was reachable again, and one of them became the leader of its shard.
     pub(crate) fn campaign_time(&mut self, view: &MemberView) -> Instant {
         let awaited = self.awaited(view);
         let before = self.waiting.filter(|(_, before)| *before == awaited);
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -13,7 +13,7 @@
 use crate::platform::{CONFIG_KEY, CONFIG_PREFIX, decode_config};
 
 /// Name of this loop in the log.
-const DUTY: &str = "configuration";
+const LOG_NAME: &str = "configuration";
 /// Maximum wait of a watch call: a dead connection is noticed after this time and the slack of the watch, within the
 /// three seconds that count as a disruption.
 const WATCH_WAIT: Duration = Duration::from_millis(2_000);
@@ -36,7 +36,7 @@
             let after = match self.read().await {
                 Ok(after) => after,
                 Err(error) => {
-                    self.shared.dependencies.store.failed(DUTY, error);
+                    self.shared.dependencies.store.failed(LOG_NAME, error);
                     sleep(RETRY_PAUSE).await;
                     continue;
                 }
@@ -47,7 +47,7 @@
 
     async fn read(&self) -> Result<u64, StoreError> {
         let page = self.shared.store.page(CONFIG_KEY, "").await?;
-        self.shared.note_store_answer(DUTY);
+        self.shared.note_store_answer(LOG_NAME);
         for item in page.items {
             self.apply(&item);
         }
@@ -59,7 +59,7 @@
         loop {
             match self.shared.store.watch(CONFIG_PREFIX, after, WATCH_WAIT).await {
                 Ok(WatchOutcome::Events { events, revision }) => {
-                    self.shared.note_store_answer(DUTY);
+                    self.shared.note_store_answer(LOG_NAME);
                     for event in events {
                         match event {
                             KeyEvent::Written(item) => self.apply(&item),
@@ -73,7 +73,7 @@
                     return;
                 }
                 Err(error) => {
-                    self.shared.dependencies.store.failed(DUTY, error);
+                    self.shared.dependencies.store.failed(LOG_NAME, error);
                     sleep(RETRY_PAUSE).await;
                     return;
                 }
--- a/src/node/dependency.rs
+++ b/src/node/dependency.rs
@@ -55,31 +55,31 @@
     }
 
     /// Records a failed call of a loop that retries forever.
-    pub(crate) fn failed(&self, duty: &str, failure: impl Display) {
-        self.note_failure(duty, RetryMode::Steady, &failure);
+    pub(crate) fn failed(&self, log_name: &str, failure: impl Display) {
+        self.note_failure(log_name, RetryMode::Steady, &failure);
     }
 
     /// Records the result of a call made on demand.
-    pub(crate) fn tried<T, E: Display>(&self, duty: &str, result: &Result<T, E>) {
+    pub(crate) fn tried<T, E: Display>(&self, log_name: &str, result: &Result<T, E>) {
         match result {
-            Ok(_) => self.answered(duty),
-            Err(failure) => self.note_failure(duty, RetryMode::OnDemand, failure),
+            Ok(_) => self.answered(log_name),
+            Err(failure) => self.note_failure(log_name, RetryMode::OnDemand, failure),
         }
     }
 
     /// Records that a call of a loop was answered.
-    pub(crate) fn answered(&self, duty: &str) {
-        self.apply(|monitor| monitor.answered(duty));
+    pub(crate) fn answered(&self, log_name: &str) {
+        self.apply(|monitor| monitor.answered(log_name));
     }
 
     fn expire_failures(&self) {
         self.apply(DependencyMonitor::expire_failures);
     }
 
-    fn note_failure(&self, duty: &str, mode: RetryMode, failure: &dyn Display) {
+    fn note_failure(&self, log_name: &str, mode: RetryMode, failure: &dyn Display) {
         metrics::counter!("kelplink_dependency_tries_failed_total", "dependency" => self.name)
             .increment(1);
-        self.apply(|monitor| monitor.failed(duty, mode, failure.to_string()));
+        self.apply(|monitor| monitor.failed(log_name, mode, failure.to_string()));
     }
 
     /// Applies an input to the monitor, then updates the metrics and logs the resulting event.
@@ -108,13 +108,13 @@
     fn log_event(&self, event: DependencyEvent) {
         let dependency = self.name;
         match event {
-            DependencyEvent::Lost { duty, failure, answer_age, short_losses } => {
+            DependencyEvent::Lost { log_name, failure, answer_age, short_losses } => {
                 let answer_age_ms =
                     answer_age.map_or("none".to_owned(), |age| millis(age).to_string());
-                warn!(dependency, duty, failure, answer_age_ms, short_losses; "a dependency is lost");
+                warn!(dependency, duty = log_name, failure, answer_age_ms, short_losses; "a dependency is lost");
             }
-            DependencyEvent::StillLost { duties, failure, away, tries_failed } => {
-                let (duties, away_ms) = (duties.join(", "), millis(away));
+            DependencyEvent::StillLost { log_names, failure, away, tries_failed } => {
+                let (duties, away_ms) = (log_names.join(", "), millis(away));
                 warn!(dependency, duties, failure, away_ms, tries_failed; "a dependency is still lost");
             }
             DependencyEvent::Back { away, tries_failed } => {
--- a/src/node/dependency/monitor.rs
+++ b/src/node/dependency/monitor.rs
@@ -38,7 +38,7 @@
 pub(crate) enum DependencyEvent {
     /// A first call has failed.
     Lost {
-        duty: String,
+        log_name: String,
         failure: String,
         /// Age of the last answer; `None` if there was none yet.
         answer_age: Option<Duration>,
@@ -48,7 +48,7 @@
     /// Calls continue to fail.
     StillLost {
         /// All loops whose calls fail now.
-        duties: Vec<String>,
+        log_names: Vec<String>,
         /// Failure of the last call.
         failure: String,
         away: Duration,
@@ -104,7 +104,7 @@
     /// Records that a call of a loop has failed.
     pub(crate) fn failed(
         &mut self,
-        duty: &str,
+        log_name: &str,
         mode: RetryMode,
         failure: String,
     ) -> Option<DependencyEvent> {
@@ -112,20 +112,20 @@
         let loss = self.loss.get_or_insert_with(|| DependencyLoss::new(now));
         loss.latest = now;
         loss.tries_failed += 1;
-        let until = loss.failing.entry(duty.to_owned()).or_insert(now);
+        let until = loss.failing.entry(log_name.to_owned()).or_insert(now);
         *until = (*until).max(now + mode.retention());
         if self.last_line.is_some_and(|at| now.saturating_duration_since(at) < MIN_LINE_GAP) {
             return None;
         }
         self.last_line = Some(now);
         if loss.reported {
-            let duties = loss.failing.keys().cloned().collect();
+            let log_names = loss.failing.keys().cloned().collect();
             let (away, tries_failed) = (loss.away(), loss.tries_failed);
-            return Some(DependencyEvent::StillLost { duties, failure, away, tries_failed });
+            return Some(DependencyEvent::StillLost { log_names, failure, away, tries_failed });
         }
         loss.reported = true;
         Some(DependencyEvent::Lost {
-            duty: duty.to_owned(),
+            log_name: log_name.to_owned(),
             failure,
             answer_age: self.answered.map(|at| now.saturating_duration_since(at)),
             short_losses: std::mem::take(&mut self.short_losses),
@@ -133,11 +133,11 @@
     }
 
     /// Records that a call of a loop was answered.
-    pub(crate) fn answered(&mut self, duty: &str) -> Option<DependencyEvent> {
+    pub(crate) fn answered(&mut self, log_name: &str) -> Option<DependencyEvent> {
         let now = Instant::now();
         self.answered = Some(now);
         if let Some(loss) = &mut self.loss
-            && loss.failing.remove(duty).is_some()
+            && loss.failing.remove(log_name).is_some()
         {
             loss.latest = now;
         }
--- a/src/node/election.rs
+++ b/src/node/election.rs
@@ -27,7 +27,7 @@
 use crate::node::view::MemberView;
 
 /// Name of this loop in the log.
-const DUTY: &str = "election";
+const LOG_NAME: &str = "election";
 /// Interval between lease renewals: three in a row may fail before the lease ends.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(250);
 /// Pause after a failed call.
@@ -88,7 +88,7 @@
             // No term begins before the shard plan is known.
             if members.borrow().plan.is_some() {
                 for (shard, term) in self.shared.handover_inbox.take_terms() {
-                    self.begin_given_term(&shard, term);
+                    self.begin_delivered_term(&shard, term);
                 }
             }
             let view = members.borrow_and_update().clone();
@@ -104,7 +104,7 @@
                 () = sleep_until(wake) => self.note_lateness(wake.elapsed()).await,
                 _ = members.changed() => {}
                 _ = draining.changed() => {}
-                () = self.shared.handover_inbox.term_given() => {}
+                () = self.shared.handover_inbox.term_delivered() => {}
             }
         }
     }
@@ -171,20 +171,20 @@
         };
         match result {
             Ok(true) => {
-                self.shared.note_store_answer(DUTY);
+                self.shared.note_store_answer(LOG_NAME);
                 self.renewed = Some(sent);
                 self.offer_lease();
                 self.candidacies.values().for_each(|candidacy| candidacy.note_renewal(sent));
                 RENEWAL_INTERVAL.saturating_sub(sent.elapsed())
             }
             Ok(false) => {
-                self.shared.dependencies.store.answered(DUTY);
+                self.shared.dependencies.store.answered(LOG_NAME);
                 warn!("the lease in the store has ended");
                 self.note_lease_expiry();
                 Duration::ZERO
             }
             Err(error) => {
-                self.shared.dependencies.store.failed(DUTY, error);
+                self.shared.dependencies.store.failed(LOG_NAME, error);
                 RETRY_PAUSE
             }
         }
@@ -286,10 +286,10 @@
             removes: Vec::new(),
         };
         let result = self.shared.store.transact(&change).await;
-        self.shared.dependencies.store.tried(DUTY, &result);
+        self.shared.dependencies.store.tried(LOG_NAME, &result);
         match result {
             Ok(TransactionOutcome::Done(revision)) => {
-                self.shared.note_store_answer(DUTY);
+                self.shared.note_store_answer(LOG_NAME);
                 self.shared.members.send_modify(|view| {
                     let shard_view = view.shards.entry(shard.clone()).or_default();
                     // The members watch may have delivered the election, and the removal of its leader key, before this
@@ -324,7 +324,7 @@
             removes: vec![leader_key(shard)],
         };
         let result = self.shared.store.transact(&change).await;
-        self.shared.dependencies.store.tried(DUTY, &result);
+        self.shared.dependencies.store.tried(LOG_NAME, &result);
         if let Err(error) = result {
             warn!(error:% = error; "failed to remove the leader key");
         }
--- a/src/node/election/handover.rs
+++ b/src/node/election/handover.rs
@@ -5,7 +5,7 @@
 
 use crate::graph::{LeaderEpoch, ShardId};
 use crate::id::EntryId;
-use crate::node::election::{DUTY, ElectionLoop, RETRY_PAUSE, encode};
+use crate::node::election::{ElectionLoop, LOG_NAME, RETRY_PAUSE, encode};
 use crate::node::handover_inbox::SuccessorOffer;
 use crate::node::keys::{
     KeyItem, KeyTransaction, KeyWrite, StoreError, TransactionOutcome, epoch_key, leader_key,
@@ -33,8 +33,8 @@
         all_done
     }
 
-    /// Sends unanswered handover transactions again. As the condition is the same, either this one takes effect or the
-    /// conflict shows that the earlier one did; after that, no earlier one can take effect.
+    /// Sends unanswered handover transactions again. As its condition is the same, the repeated transaction either takes
+    /// effect or fails with a conflict, which shows that an earlier one did. After that, no earlier one can take effect.
     pub(super) async fn resolve_in_doubt(&mut self) {
         let in_doubt = self.candidacies.iter().filter(|(_, candidacy)| candidacy.in_doubt());
         let shards: Vec<ShardId> = in_doubt.map(|(shard, _)| shard.clone()).collect();
@@ -75,7 +75,7 @@
             offer = None;
             result = self.shared.store.transact(&without_successor).await;
         }
-        self.shared.dependencies.store.tried(DUTY, &result);
+        self.shared.dependencies.store.tried(LOG_NAME, &result);
         match result {
             Ok(TransactionOutcome::Done(epoch_revision)) => {
                 self.candidacy(shard).end().await;
@@ -141,7 +141,7 @@
             view.shards.entry(shard.clone()).or_default().leader = Some(record);
         });
         for _ in 0..NOTIFY_ATTEMPTS {
-            if self.peers.give(offer.address, shard, term).await.is_ok() {
+            if self.peers.hand_over(offer.address, shard, term).await.is_ok() {
                 return;
             }
         }
@@ -149,7 +149,7 @@
     }
 
     /// Begins a term that the previous leader handed over to this entry.
-    pub(super) fn begin_given_term(&mut self, shard: &ShardId, term: LeaderTerm) {
+    pub(super) fn begin_delivered_term(&mut self, shard: &ShardId, term: LeaderTerm) {
         let (name, start) = (self.shared.settings.name.clone(), self.shared.start);
         let record = LeaderRecord {
             entry: name.clone(),
@@ -190,7 +190,7 @@
             return;
         };
         let result = self.shared.store.end_lease(lease).await;
-        self.shared.dependencies.store.tried(DUTY, &result);
+        self.shared.dependencies.store.tried(LOG_NAME, &result);
         if let Err(error) = result {
             warn!(error:% = error; "failed to end the lease");
         }
--- a/src/node/election/lease_tests.rs
+++ b/src/node/election/lease_tests.rs
@@ -62,13 +62,13 @@
 // notification of the term arrived, so another leader may have been elected meanwhile.
 #[gtest]
 #[tokio::test]
-async fn a_term_given_under_an_ended_lease_does_not_begin() {
+async fn a_term_delivered_under_an_ended_lease_does_not_begin() {
     let (store, address) = EmptyStore::start().await;
     let (shared, mut election) = registered(address).await;
-    let offered = shared.handover_inbox.name(undivided(), 1);
+    let offered = shared.handover_inbox.expect_term(undivided(), 1);
     assert_eq!(offered, election.lease);
     register_again(&store, &mut election).await;
-    election.begin_given_term(
+    election.begin_delivered_term(
         &undivided(),
         LeaderTerm { epoch: 2, epoch_revision: 5, predecessor: None },
     );
@@ -99,7 +99,7 @@
 // is gone.
 #[gtest]
 #[tokio::test]
-async fn a_leader_with_an_unanswered_handover_does_not_deny_jobs() {
+async fn a_leader_with_an_unanswered_handover_does_not_report_jobs_as_gone() {
     let (store, address) = EmptyStore::start().await;
     let (shared, mut election) = registered(address).await;
     let view = shared.members.borrow().clone();
@@ -107,14 +107,14 @@
     expect_that!(answer_for_unknown_job(&shared).await, some(eq(&LeaderAnswer::Gone)));
     store.loses_answers.store(true, Ordering::Relaxed);
     assert!(!election.hand_over().await);
-    assert_eq!(store.lost.load(Ordering::Relaxed), 1);
+    assert_eq!(store.lost_transactions.load(Ordering::Relaxed), 1);
     election.renew().await;
     expect_that!(answer_for_unknown_job(&shared).await, some(eq(&LeaderAnswer::NotLeading)));
 }
 
 // The lease ends before the answer to the election arrives, and the members watch delivers that first. If the late
-// answer then put the leader record into the view, it stayed there: the leader got no renewal and never campaigned
-// again.
+// answer then put the leader record into the view, the record stayed there: the leader got no renewal and never
+// campaigned again.
 #[gtest]
 #[tokio::test]
 async fn an_entry_may_campaign_again_if_its_lease_ended_before_the_election_was_answered() {
@@ -127,10 +127,10 @@
     shared.config.send_replace(Some(Arc::new(config)));
     let view = shared.members.borrow().clone();
     assert!(election.may_campaign(&undivided(), &view));
-    let before = store.changes.load(Ordering::Relaxed);
+    let before = store.transactions.load(Ordering::Relaxed);
     store.delays_answers.store(true, Ordering::Relaxed);
     let watch_events = async {
-        while store.changes.load(Ordering::Relaxed) == before {
+        while store.transactions.load(Ordering::Relaxed) == before {
             sleep(Duration::from_millis(1)).await;
         }
         store.end_lease();
@@ -191,9 +191,9 @@
     store.loses_answers.store(true, Ordering::Relaxed);
     let view = shared.members.borrow().clone();
     election.reconcile(&undivided(), &view).await;
-    assert_eq!(store.lost.load(Ordering::Relaxed), 1);
+    assert_eq!(store.lost_transactions.load(Ordering::Relaxed), 1);
     store.loses_answers.store(false, Ordering::Relaxed);
-    let before = store.changes.load(Ordering::Relaxed);
+    let before = store.transactions.load(Ordering::Relaxed);
     election.reconcile(&undivided(), &view).await;
-    expect_that!(store.changes.load(Ordering::Relaxed), eq(before + 1));
+    expect_that!(store.transactions.load(Ordering::Relaxed), eq(before + 1));
 }
--- a/src/node/handover_inbox.rs
+++ b/src/node/handover_inbox.rs
@@ -40,8 +40,8 @@
     /// Terms that this entry has offered to lead, and until when each waits for the previous leader's notification.
     expected_terms: Mutex<BTreeMap<ShardId, (LeaderEpoch, Instant)>>,
     /// Terms handed over to this entry that have not begun.
-    term_given: Mutex<BTreeMap<ShardId, LeaderTerm>>,
-    term_notify: Notify,
+    delivered_terms: Mutex<BTreeMap<ShardId, LeaderTerm>>,
+    term_delivery: Notify,
 }
 
 impl HandoverInbox {
@@ -52,7 +52,7 @@
 
     /// Returns the lease under which this entry can lead a shard after `epoch`, if it can, and expects that term from
     /// then on.
-    pub(crate) fn name(&self, shard: ShardId, epoch: LeaderEpoch) -> Option<LeaseId> {
+    pub(crate) fn expect_term(&self, shard: ShardId, epoch: LeaderEpoch) -> Option<LeaseId> {
         let lease = (*lock(&self.lease))?;
         lock(&self.expected_terms).insert(shard, (epoch + 1, Instant::now() + TERM_WAIT));
         Some(lease)
@@ -67,20 +67,20 @@
     }
 
     /// Takes the notification that a leader has ended and the store names this entry for the next term.
-    pub(crate) fn give(&self, shard: ShardId, term: LeaderTerm) {
+    pub(crate) fn deliver_term(&self, shard: ShardId, term: LeaderTerm) {
         lock(&self.expected_terms).remove(&shard);
-        lock(&self.term_given).insert(shard, term);
-        self.term_notify.notify_one();
+        lock(&self.delivered_terms).insert(shard, term);
+        self.term_delivery.notify_one();
     }
 
     /// Removes and returns the terms handed over so far.
     pub(crate) fn take_terms(&self) -> BTreeMap<ShardId, LeaderTerm> {
-        std::mem::take(&mut *lock(&self.term_given))
+        std::mem::take(&mut *lock(&self.delivered_terms))
     }
 
     /// Waits until a term is handed over.
-    pub(crate) async fn term_given(&self) {
-        self.term_notify.notified().await;
+    pub(crate) async fn term_delivered(&self) {
+        self.term_delivery.notified().await;
     }
 }
 
--- a/src/node/lateness.rs
+++ b/src/node/lateness.rs
@@ -1,4 +1,4 @@
-//! Tells a machine that is too slow to lead from a leader with more load than any machine could handle.
+//! Distinguishes a machine that is too slow to lead from a leader with more load than any machine could handle.
 //!
 //! Late timers alone do not show that a machine is slow. With 1,100 workers under one leader, timers were late on
 //! every machine: nine entries in turn stepped down as too slow within a minute, and each successor claimed all
--- a/src/node/leader.rs
+++ b/src/node/leader.rs
@@ -20,7 +20,7 @@
 use crate::node::answer_condition::AnswerCondition;
 use crate::node::clock::{BootClock, unix_millis};
 use crate::node::input::{GroupOutcome, LeaderInput};
-use crate::node::ledger::{JobLedger, LEDGER_DUTY};
+use crate::node::ledger::{JobLedger, LEDGER_LOG_NAME};
 use crate::node::message::{JobSubmission, LeaderAnswer, LeaderCall};
 use crate::node::notices::NoticeLoop;
 use crate::node::records::LeaderTerm;
@@ -50,8 +50,8 @@
     callers: BTreeMap<CallId, oneshot::Sender<LeaderAnswer>>,
     state_queries: StateQueries,
     last_call: CallId,
-    /// Whether the term may have ended without this leader knowing: jobs that it does not have may then have been
-    /// accepted by the next leader.
+    /// Whether the term may already have ended in the store: jobs that this leader does not have may then have been
+    /// accepted by the next one.
     in_doubt: bool,
 }
 
@@ -235,7 +235,7 @@
             }
             LeaderInput::Advised(id, allowed) => controller.handle_advice(now, id, allowed),
             LeaderInput::Stored(number, GroupOutcome::Stored { taken }) => {
-                self.shared.note_store_answer(LEDGER_DUTY);
+                self.shared.note_store_answer(LEDGER_LOG_NAME);
                 controller.handle_group_partly_stored(now, number, &taken);
             }
             LeaderInput::Stored(number, GroupOutcome::Refused) => {
@@ -383,7 +383,7 @@
         Some(job) if job.is_over() && job.stored_verdict.is_none() => {
             StateUpdate::Ending(job.state())
         }
-        Some(job) => StateUpdate::Final(job.state()),
+        Some(job) => StateUpdate::Current(job.state()),
         None if absence_certain => StateUpdate::Gone,
         None => StateUpdate::Unsure,
     }
--- a/src/node/leader/tests.rs
+++ b/src/node/leader/tests.rs
@@ -1,4 +1,4 @@
-//! Answers of a leader that does not know whether it still leads.
+//! Answers of a leader whose term may have ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -103,7 +103,7 @@
     }
 }
 
-// A leader that could not reach the store went on counting its own jobs and missed those of the next leader.
+// A leader that could not reach the store kept counting its own jobs and missed those of the next leader.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_leader_without_its_lease_does_not_count_jobs() {
@@ -141,7 +141,7 @@
     expect_that!(leader.pending(), err(some(eq(&LeaderAnswer::NotLeading))));
 }
 
-// The monotonic clock stops while a machine is suspended, but the lease in the store goes on to expire.
+// The monotonic clock stops while a machine is suspended, but the lease in the store still expires.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn a_suspension_adds_to_the_lease_age() {
@@ -178,6 +178,6 @@
     expect_that!(leader.cancel(UNKNOWN), some(eq(&LeaderAnswer::Gone)));
     advance(Duration::from_millis(100)).await;
     expect_that!(leader.cancel(UNKNOWN), some(eq(&LeaderAnswer::NotLeading)));
-    // A job that it has and that is over is reported as gone regardless of the lease.
+    // A job that the leader has and that has ended is reported as gone whatever the age of the lease.
     expect_that!(leader.cancel(COMPLETED), some(eq(&LeaderAnswer::Gone)));
 }
--- a/src/node/leader_client.rs
+++ b/src/node/leader_client.rs
@@ -16,22 +16,23 @@
 use crate::node::shared::NodeShared;
 
 /// Name in the log of calls to the leader.
-const CALL_DUTY: &str = "calls";
+const CALL_LOG_NAME: &str = "calls";
 /// Name in the log of reading jobs from the store without the leader.
-const STATE_DUTY: &str = "states";
-/// Longest time for one try: storing a group takes a few milliseconds, and 240 ms with a slow store.
+const STATE_LOG_NAME: &str = "states";
+/// Maximum timeout of one try: storing a group takes a few milliseconds, and 240 ms with a slow store.
 const TRY_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// No try is made with less time than this: it could only end without an answer.
+/// Minimum timeout of one try: with less time it could only end without an answer.
 const MIN_TRY_TIMEOUT: Duration = Duration::from_millis(30);
 /// Pause before the next try.
 const TRY_PAUSE: Duration = Duration::from_millis(40);
 /// How long a call that has certainly not arrived waits for a leader while one can be elected: the
 /// expiry of the old leader's lease and the takeover take less.
 const ELECTION_WAIT: Duration = Duration::from_millis(2_300);
-/// How long such a call waits while the store does not answer, so that no leader can be elected.
+/// How long a call that has certainly not arrived waits while the store does not answer, so that no leader can be
+/// elected.
 const STORE_DOWN_WAIT: Duration = Duration::from_millis(350);
 
-/// Most shards that an entry submits a job to: the second and the third fail together only where the store
+/// Maximum number of shards that an entry submits a job to: the second and the third fail together only where the store
 /// is unavailable, and then all shards do.
 const MAX_SHARDS_TRIED: usize = 3;
 
@@ -180,7 +181,7 @@
         };
         match (call, answer) {
             // The index has the job, so this leader could not read it or has been replaced. For a cancellation the
-            // answer stands, as the job may have ended.
+            // answer is kept, as the job may have ended.
             (LeaderCall::State(_), Ok(LeaderAnswer::Gone)) => Err(LeaderCallError::NotTaken),
             (_, answer) => answer,
         }
@@ -195,7 +196,7 @@
     /// Reads the shard of a job from the store's index.
     async fn indexed_shard(&self, job: &GraphId) -> IndexedShard {
         let read = JobLedger::shard_of(&self.shared.store, job).await;
-        self.shared.dependencies.store.tried(STATE_DUTY, &read);
+        self.shared.dependencies.store.tried(STATE_LOG_NAME, &read);
         match read {
             Ok(Some(shard)) => IndexedShard::Known(shard),
             Ok(None) => IndexedShard::None,
@@ -231,9 +232,9 @@
         &self,
         shard: &ShardId,
         call: &LeaderCall,
-        time: Duration,
+        try_timeout: Duration,
     ) -> Result<LeaderAnswer, LeaderCallError> {
-        match self.try_once(shard, call, time).await {
+        match self.try_once(shard, call, try_timeout).await {
             Ok(LeaderAnswer::NotLeading) | Err(PeerFailure::NotSent) => {
                 Err(LeaderCallError::NotTaken)
             }
@@ -277,10 +278,11 @@
         &self,
         shard: &ShardId,
         call: &LeaderCall,
-        time: Duration,
+        try_timeout: Duration,
     ) -> Result<LeaderAnswer, PeerFailure> {
         if self.shared.leading(shard).is_some() {
-            let answer = timeout(time, ask_own_leader(&self.shared, shard, call.clone())).await;
+            let answer =
+                timeout(try_timeout, ask_own_leader(&self.shared, shard, call.clone())).await;
             return match answer {
                 Ok(Some(answer)) => Ok(answer),
                 Ok(None) | Err(_) => Err(PeerFailure::NoAnswer),
@@ -289,9 +291,9 @@
         let leader = self.shared.members.borrow().leader(shard).cloned();
         match leader.filter(|leader| leader.start != self.shared.start) {
             Some(leader) => {
-                let answer = self.peers.ask(leader.address, shard, call, time).await;
+                let answer = self.peers.ask(leader.address, shard, call, try_timeout).await;
                 let answer = answer.map(|answer| self.record_leader(shard, answer));
-                note_leader_call(&self.shared, CALL_DUTY, &leader, time, &answer);
+                note_leader_call(&self.shared, CALL_LOG_NAME, &leader, try_timeout, &answer);
                 let leads = answer.as_ref().is_ok_and(|answer| *answer != LeaderAnswer::NotLeading);
                 if leads && self.is_in_other_domain(&leader) {
                     self.shared.note_peer_answer();
@@ -299,7 +301,7 @@
                 answer
             }
             None => {
-                note_no_leader(&self.shared, CALL_DUTY);
+                note_no_leader(&self.shared, CALL_LOG_NAME);
                 Err(PeerFailure::NotSent)
             }
         }
@@ -343,7 +345,7 @@
         };
         let read = JobLedger::job(&self.shared.store, &shard, id).await;
         let read = read.map_err(|error| format!("job {id}: {error}"));
-        self.shared.dependencies.store.tried(STATE_DUTY, &read);
+        self.shared.dependencies.store.tried(STATE_LOG_NAME, &read);
         match read {
             Ok(Some((record, progress))) => {
                 let job = GraphJob::restored(record, progress, Instant::now(), Duration::ZERO);
@@ -365,9 +367,9 @@
 /// Records the result of a loop's call to the leader.
 pub(crate) fn note_leader_call(
     shared: &NodeShared,
-    duty: &str,
+    log_name: &str,
     leader: &LeaderRecord,
-    time: Duration,
+    try_timeout: Duration,
     answer: &Result<LeaderAnswer, PeerFailure>,
 ) {
     let entry = &leader.entry;
@@ -375,12 +377,12 @@
         Ok(LeaderAnswer::NotLeading) => Err(format!("{entry} does not lead")),
         Ok(_) => Ok(()),
         Err(PeerFailure::NotSent) => Err(format!("{entry} was not reached")),
-        Err(PeerFailure::NoAnswer) => Err(format!("{entry} did not answer in {time:?}")),
+        Err(PeerFailure::NoAnswer) => Err(format!("{entry} did not answer in {try_timeout:?}")),
     };
-    shared.dependencies.leader.tried(duty, &result);
+    shared.dependencies.leader.tried(log_name, &result);
 }
 
 /// Records that a loop has no leader to call.
-pub(crate) fn note_no_leader(shared: &NodeShared, duty: &str) {
-    shared.dependencies.leader.tried(duty, &Err::<(), _>("no other entry leads"));
+pub(crate) fn note_no_leader(shared: &NodeShared, log_name: &str) {
+    shared.dependencies.leader.tried(log_name, &Err::<(), _>("no other entry leads"));
 }
--- a/src/node/ledger.rs
+++ b/src/node/ledger.rs
@@ -31,7 +31,7 @@
 type Result<T> = std::result::Result<T, StoreError>;
 
 /// Name of ledger reads and writes in the log.
-pub(crate) const LEDGER_DUTY: &str = "ledger";
+pub(crate) const LEDGER_LOG_NAME: &str = "ledger";
 /// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 /// A group that takes longer is logged as a warning, as callers wait for it.
@@ -63,7 +63,7 @@
 pub(crate) struct JobLedger {
     keys: ShardKeys,
     store: PlatformStore,
-    tries: DependencyLog,
+    dependency_log: DependencyLog,
     head: Arc<Mutex<LedgerHead>>,
 }
 
@@ -75,8 +75,8 @@
         epoch_revision: u64,
     ) -> Self {
         let head = LedgerHead { epoch, epoch_revision, group_revision: 0 };
-        let (store, tries) = (shared.store.clone(), shared.dependencies.store.clone());
-        Self { keys: ShardKeys { shard }, store, tries, head: Arc::new(Mutex::new(head)) }
+        let (store, dependency_log) = (shared.store.clone(), shared.dependencies.store.clone());
+        Self { keys: ShardKeys { shard }, store, dependency_log, head: Arc::new(Mutex::new(head)) }
     }
 
     /// Continues under a later epoch of the same leader.
@@ -95,21 +95,21 @@
         change(&mut self.head.lock().unwrap_or_else(PoisonError::into_inner));
     }
 
-    /// Reads the whole ledger; each page may take `time`. Only the leader of the current epoch can write, so the pages
+    /// Reads the whole ledger; each page may take `page_timeout`. Only the leader of the current epoch can write, so the pages
     /// are consistent. Job records and progress are read concurrently because callers wait meanwhile: 740 jobs took
     /// 112 ms, and 151 ms when read one kind after the other.
-    pub(crate) async fn load(&self, time: Duration) -> Result<RestoredState> {
+    pub(crate) async fn load(&self, page_timeout: Duration) -> Result<RestoredState> {
         let started = Instant::now();
         let (group_key, workers_key) = (self.keys.group(), self.keys.workers());
         let (records_prefix, progress_prefix) = (self.keys.record(""), self.keys.progress(""));
         let read = try_join4(
             self.store.get(&group_key),
             self.store.get(&workers_key),
-            self.read_all::<GraphRecord>(&records_prefix, time),
-            self.read_all::<GraphProgress>(&progress_prefix, time),
+            self.read_all::<GraphRecord>(&records_prefix, page_timeout),
+            self.read_all::<GraphProgress>(&progress_prefix, page_timeout),
         )
         .await;
-        self.tries.tried(LEDGER_DUTY, &read);
+        self.dependency_log.tried(LEDGER_LOG_NAME, &read);
         let (group, workers, records, progress) = read?;
         self.update_head(|head| head.group_revision = group.map_or(0, |item| item.revision));
         let workers = workers.map_or_else(|| Some(Vec::new()), |item| decode(&item));
@@ -123,12 +123,12 @@
     async fn read_all<T: DeserializeOwned>(
         &self,
         prefix: &str,
-        time: Duration,
+        page_timeout: Duration,
     ) -> Result<BTreeMap<String, Option<T>>> {
         let mut found = BTreeMap::new();
         let mut after = String::new();
         loop {
-            let page = self.store.page_within(prefix, &after, time).await?;
+            let page = self.store.page_within(prefix, &after, page_timeout).await?;
             for item in &page.items {
                 let id = item.key.strip_prefix(prefix).unwrap_or(&item.key);
                 found.insert(id.to_owned(), decode(item));
@@ -199,13 +199,13 @@
         let (store, key) = (&self.store, &self.keys.group());
         let result = GroupSender { store, key, id }.send(change).await;
         let tried = match &result {
-            Ok(TransactionOutcome::NoLease) => {
-                Err(format!("group {id}: it asks for a lease where none is used"))
-            }
+            Ok(TransactionOutcome::NoLease) => Err(format!(
+                "group {id}: the store reported an ended lease, but the group uses none"
+            )),
             Ok(_) => Ok(()),
             Err(failure) => Err(format!("group {id}: {failure}")),
         };
-        self.tries.tried(LEDGER_DUTY, &tried);
+        self.dependency_log.tried(LEDGER_LOG_NAME, &tried);
         result
     }
 
@@ -227,11 +227,11 @@
         }
         let epoch = items.iter().find(|item| item.key == epoch_key).map(|item| item.revision);
         let current = self.head();
-        let leads_still = current != head || epoch == Some(current.epoch_revision);
+        let still_leads = current != head || epoch == Some(current.epoch_revision);
         let same_group = group.map_or(0, |item| item.revision) == current.group_revision;
         let is_indexed = |job: &&GraphId| items.iter().any(|item| item.key == index_key(job));
         let taken: Vec<GraphId> = added.iter().filter(is_indexed).cloned().collect();
-        match leads_still && same_group {
+        match still_leads && same_group {
             true if taken.is_empty() => GroupConflict::Renewed,
             // The existing index keys also keep any earlier send of the group from taking effect.
             true => GroupConflict::Taken(taken),
--- a/src/node/ledger/group_sender.rs
+++ b/src/node/ledger/group_sender.rs
@@ -1,4 +1,4 @@
-//! Sends one group to the store, and again as soon as the store answers reads while a send is unanswered.
+//! Sends one group to the store, and sends it again as soon as the store answers a read while a send is unanswered.
 //!
 //! This covers a store that was unreachable and a store whose answers are lost. Waiting for the timeout of an
 //! unanswered send would keep jobs from being accepted after the store has recovered, and would delay all later groups.
--- a/src/node/ledger/tests.rs
+++ b/src/node/ledger/tests.rs
@@ -77,7 +77,7 @@
 // s, and jobs whose callers waited for the group were refused meanwhile.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_recovered_store_gets_the_group_within_a_probe() {
+async fn a_recovered_store_gets_the_group_within_a_probe_interval() {
     let silence = Duration::from_millis(6_400);
     let store = SilentStore::new(silence, Duration::from_millis(4), false);
     let took = time_to_store(&store).await;
@@ -108,7 +108,7 @@
 // A group may be stored if one of its sends is refused while another is unanswered.
 #[gtest]
 #[tokio::test(start_paused = true)]
-async fn a_group_is_not_refused_for_sure_while_a_send_is_unanswered() {
+async fn a_group_is_not_reported_as_refused_while_a_send_is_unanswered() {
     /// A store that leaves the first send unanswered and refuses the next.
     struct RefusingStore(Mutex<u32>);
 
--- a/src/node/members.rs
+++ b/src/node/members.rs
@@ -16,7 +16,7 @@
 use crate::node::view::MemberView;
 
 /// Name of this loop in the log.
-const DUTY: &str = "members";
+const LOG_NAME: &str = "members";
 /// Maximum wait of a watch call: a dead connection is noticed after this time and the slack of the watch, within the
 /// three seconds that count as a disruption.
 const WATCH_WAIT: Duration = Duration::from_millis(2_000);
@@ -41,7 +41,7 @@
                 Err(error) => Err(error),
             };
             if let Err(error) = result {
-                self.shared.dependencies.store.failed(DUTY, error);
+                self.shared.dependencies.store.failed(LOG_NAME, error);
                 sleep(RETRY_PAUSE).await;
             }
         }
@@ -55,11 +55,11 @@
         let mut revision = None;
         loop {
             let page = self.shared.store.page(MEMBER_PREFIX, &after).await?;
-            self.shared.note_store_answer(DUTY);
+            self.shared.note_store_answer(LOG_NAME);
             // The watch starts at the first page's revision, so it repeats changes made while later pages are read.
             let first = *revision.get_or_insert(page.revision);
             for item in &page.items {
-                written(&mut view, item);
+                apply_write(&mut view, item);
             }
             match page.items.last() {
                 Some(last) if page.more => after = last.key.clone(),
@@ -75,7 +75,7 @@
         loop {
             match self.shared.store.watch(MEMBER_PREFIX, after, WATCH_WAIT).await? {
                 WatchOutcome::Events { events, revision } => {
-                    self.shared.note_store_answer(DUTY);
+                    self.shared.note_store_answer(LOG_NAME);
                     after = after.max(revision);
                     if events.is_empty() {
                         continue;
@@ -83,7 +83,7 @@
                     let mut view = self.shared.members.borrow().clone();
                     for event in events {
                         match event {
-                            KeyEvent::Written(item) => written(&mut view, &item),
+                            KeyEvent::Written(item) => apply_write(&mut view, &item),
                             KeyEvent::Removed(key) => apply_removal(&mut view, &key),
                         }
                     }
@@ -113,7 +113,7 @@
     }
 }
 
-pub(super) fn written(view: &mut MemberView, item: &KeyItem) {
+pub(super) fn apply_write(view: &mut MemberView, item: &KeyItem) {
     let key = item.key.as_str();
     if key == PLAN_KEY {
         view.plan = decode(item).map(Arc::new).or(view.plan.take());
--- a/src/node/members_tests.rs
+++ b/src/node/members_tests.rs
@@ -11,7 +11,7 @@
 use crate::graph::{LeaderEpoch, ShardId};
 use crate::id::EntryId;
 use crate::node::keys::{KeyItem, epoch_key, leader_key};
-use crate::node::members::{MembershipLoop, apply_removal, written};
+use crate::node::members::{MembershipLoop, apply_removal, apply_write};
 use crate::node::records::{EpochRecord, LeaderRecord};
 use crate::node::settings::NodeSettings;
 use crate::node::shared::NodeShared;
@@ -75,7 +75,8 @@
     expect_that!(shared.members.borrow().plan, eq(&divided(&[]).plan));
 }
 
-// Such an entry refuses all calls; while it reported itself ready, callers kept their connections to it.
+// An entry without the shard plan refuses all calls. While it reported itself ready, callers kept their connections to
+// it.
 #[gtest]
 #[tokio::test(start_paused = true)]
 async fn an_entry_without_the_shard_plan_is_not_ready() {
@@ -103,12 +104,12 @@
     view
 }
 
-// A watch that lagged behind news from other entries restored the previous leader, and calls were sent to it.
+// A watch that lagged behind the reports of other entries restored the previous leader, and calls were sent to it.
 #[gtest]
 fn a_late_watch_event_does_not_restore_an_earlier_leader() {
     let undivided = ShardId::from("");
     let mut view = view_with_third_leader();
-    written(&mut view, &item(leader_key(&undivided), &leader_of(2), 8));
+    apply_write(&mut view, &item(leader_key(&undivided), &leader_of(2), 8));
     expect_that!(view.leader(&undivided), some(eq(&leader_of(3))));
     apply_removal(&mut view, &leader_key(&undivided));
     expect_that!(view.leader(&undivided), some(eq(&leader_of(3))));
@@ -119,13 +120,13 @@
     let undivided = ShardId::from("");
     let mut view = view_with_third_leader();
     let elected = EpochRecord { epoch: 3, ..EpochRecord::default() };
-    written(&mut view, &item(epoch_key(&undivided), &elected, 9));
-    written(&mut view, &item(leader_key(&undivided), &leader_of(3), 9));
+    apply_write(&mut view, &item(epoch_key(&undivided), &elected, 9));
+    apply_write(&mut view, &item(leader_key(&undivided), &leader_of(3), 9));
     apply_removal(&mut view, &leader_key(&undivided));
     expect_that!(view.leader(&undivided), none());
 }
 
-// An entry learns of its own election from the answer, before the watch delivers the earlier elections.
+// The answer to its own election reaches an entry before the watch delivers the earlier elections.
 #[gtest]
 fn a_late_watch_event_does_not_restore_an_earlier_epoch() {
     let undivided = ShardId::from("");
@@ -133,7 +134,7 @@
     let shard_view = view.shards.entry(undivided.clone()).or_default();
     (shard_view.epoch, shard_view.epoch_revision) = (3, 9);
     let earlier = EpochRecord { epoch: 2, ..EpochRecord::default() };
-    written(&mut view, &item(epoch_key(&undivided), &earlier, 8));
+    apply_write(&mut view, &item(epoch_key(&undivided), &earlier, 8));
     expect_that!(view.shard(&undivided).epoch, eq(3));
     expect_that!(view.shard(&undivided).epoch_revision, eq(9));
 }
--- a/src/node/notices.rs
+++ b/src/node/notices.rs
@@ -1,4 +1,4 @@
-//! The loop that follows notices from the leaders of other shards, while this process leads.
+//! Loop that follows notices from the leaders of other shards, while this process leads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,10 +15,10 @@
 use crate::ring::RingSender;
 
 /// Name of this loop in the log.
-const DUTY: &str = "notices";
+const LOG_NAME: &str = "notices";
 /// Prefix of all notices.
 const NOTICE_PREFIX: &str = "x";
-/// Longest wait of a watch. A dead connection is detected after this time and the watch's slack, within the
+/// Maximum wait of a watch call: a dead connection is noticed after this time and the slack of the watch, within the
 /// three seconds that count as a disruption.
 const WATCH_WAIT: Duration = Duration::from_millis(2_000);
 /// Pause after a failed call.
@@ -60,13 +60,13 @@
             let store = self.shared.dependencies.store.clone();
             let result = match self.read_all().await {
                 Ok(after) => {
-                    store.answered(DUTY);
+                    store.answered(LOG_NAME);
                     self.follow(after).await
                 }
                 Err(error) => Err(error),
             };
             if let Err(error) = result {
-                store.failed(DUTY, error);
+                store.failed(LOG_NAME, error);
                 sleep(RETRY_PAUSE).await;
             }
         }
@@ -134,7 +134,7 @@
                     Ok(record) => LeaderInput::Share(Box::new(record)),
                     Err(failure) => {
                         count_unreadable(UnreadableKind::Ledger);
-                        error!(key = item.key, failure:% = failure; "a notice could not be decoded");
+                        error!(key = item.key, failure:% = failure; "unreadable notice");
                         return;
                     }
                 }
--- a/src/node/own_leader.rs
+++ b/src/node/own_leader.rs
@@ -17,8 +17,8 @@
         return Some(LeaderAnswer::NotLeading);
     };
     if matches!(call, LeaderCall::Reach) {
-        // A leader that is cut off together with the asking entries cannot store anything. Entries that counted on it
-        // would accept callers and refuse them for as long as the partition lasts.
+        // A leader that is cut off together with the asking entries cannot store anything. Entries that relied on
+        // its answer would stay ready, and refuse their callers for as long as the partition lasts.
         return Some(match shared.reaches_others() {
             true => LeaderAnswer::Leading,
             false => LeaderAnswer::NotLeading,
--- a/src/node/peer_service.rs
+++ b/src/node/peer_service.rs
@@ -23,7 +23,7 @@
 type Result<T> = std::result::Result<T, ErrorObjectOwned>;
 
 /// Name in the log of asking for advice on behalf of another entry.
-const DUTY: &str = "advice for the leader";
+const LOG_NAME: &str = "advice for the leader";
 /// JSON-RPC code of a failed call to the advisor.
 const ADVISOR_CODE: i32 = -32_001;
 /// JSON-RPC code for a call during which leadership ended: the call may have been carried out.
@@ -49,10 +49,15 @@
         answer.ok_or_else(|| ErrorObjectOwned::owned(ENDED_CODE, "leadership ended", None::<()>))
     })?;
     module.register_async_method(ADVISE_METHOD, |params, shared, _| async move {
-        let (job, occurrence, step, workers, time): (GraphId, u32, u32, Vec<WorkerId>, Duration) =
-            params.parse()?;
+        let (job, occurrence, step, workers, timeout): (
+            GraphId,
+            u32,
+            u32,
+            Vec<WorkerId>,
+            Duration,
+        ) = params.parse()?;
         let step = StepKey { occurrence, step };
-        ask_own_advisor(&shared, job, step, workers, time).await
+        ask_own_advisor(&shared, job, step, workers, timeout).await
     })?;
     module.register_async_method(OFFER_METHOD, |params, shared, _| async move {
         let (shard, epoch): (ShardId, LeaderEpoch) = params.parse()?;
@@ -61,7 +66,7 @@
     module.register_async_method(GIVE_METHOD, |params, shared, _| async move {
         let (shard, term): (ShardId, LeaderTerm) = params.parse()?;
         info!(shard = &*shard, epoch = term.epoch; "leadership was handed to this entry");
-        shared.handover_inbox.give(shard, term);
+        shared.handover_inbox.deliver_term(shard, term);
         Ok::<_, ErrorObjectOwned>(true)
     })?;
     Ok(module)
@@ -93,7 +98,7 @@
     {
         return None;
     }
-    let lease = shared.handover_inbox.name(shard, epoch)?;
+    let lease = shared.handover_inbox.expect_term(shard, epoch)?;
     let settings = &shared.settings;
     let (entry, address) = (settings.name.clone(), settings.peers);
     Some(SuccessorOffer { entry, address, start: shared.start, lease })
@@ -104,13 +109,13 @@
     job: GraphId,
     step: StepKey,
     workers: Vec<WorkerId>,
-    time: Duration,
+    timeout: Duration,
 ) -> Result<AllowedWorkers> {
     let advisor_error = |reason: String| ErrorObjectOwned::owned(ADVISOR_CODE, reason, None::<()>);
     let advisor =
         shared.advisor.as_ref().ok_or_else(|| advisor_error("no advisor is set".to_owned()))?;
-    let allowed = advisor.advise(&job, step, &workers, time).await;
+    let allowed = advisor.advise(&job, step, &workers, timeout).await;
     let allowed = allowed.map_err(|error| format!("{error:?}"));
-    shared.dependencies.advisor.tried(DUTY, &allowed);
+    shared.dependencies.advisor.tried(LOG_NAME, &allowed);
     allowed.map_err(advisor_error)
 }
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -28,7 +28,7 @@
 /// Timeout for connecting: the latency between entries is two milliseconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// How long an entry that left a call unanswered counts as unreachable: calls to it fail at once instead
-/// of waiting in vain, and after the pause one call is tried again.
+/// of after their timeout, and after the pause one call is tried again.
 const UNRESPONSIVE_PAUSE: Duration = Duration::from_millis(250);
 /// Timeout for calls of a handover: the latency between entries is two milliseconds, and the next candidate is asked
 /// only after the timeout.
@@ -84,9 +84,9 @@
         address: SocketAddr,
         shard: &ShardId,
         call: &LeaderCall,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<LeaderAnswer> {
-        self.request(address, ASK_METHOD, (shard, call), time).await
+        self.request(address, ASK_METHOD, (shard, call), timeout).await
     }
 
     /// Asks another entry to get placement advice from its advisor.
@@ -96,10 +96,10 @@
         job: GraphId,
         step: StepKey,
         workers: Vec<WorkerId>,
-        time: Duration,
+        timeout: Duration,
     ) -> std::result::Result<AllowedWorkers, String> {
-        let params = (job, step.occurrence, step.step, workers, time);
-        let allowed = self.request(address, ADVISE_METHOD, params, time + TRANSIT_TIME).await;
+        let params = (job, step.occurrence, step.step, workers, timeout);
+        let allowed = self.request(address, ADVISE_METHOD, params, timeout + TRANSIT_TIME).await;
         allowed.map_err(|failure| format!("{failure:?}"))
     }
 
@@ -113,8 +113,8 @@
         self.request(address, OFFER_METHOD, (shard, epoch), HANDOVER_TIMEOUT).await
     }
 
-    /// Tells an entry that it now leads a shard and that the previous leader has ended.
-    pub(crate) async fn give(
+    /// Notifies an entry that it now leads a shard and that the previous leader has ended.
+    pub(crate) async fn hand_over(
         &self,
         address: SocketAddr,
         shard: &ShardId,
@@ -128,12 +128,12 @@
         address: SocketAddr,
         method: &str,
         params: P,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<T> {
         if !self.may_try(address) {
             return Err(PeerFailure::NotSent);
         }
-        let result = self.send(address, method, params, time).await;
+        let result = self.send(address, method, params, timeout).await;
         self.note_result(address, result.is_ok());
         result
     }
@@ -143,7 +143,7 @@
         address: SocketAddr,
         method: &str,
         params: P,
-        time: Duration,
+        timeout: Duration,
     ) -> Result<T> {
         let body = RpcRequest { jsonrpc: "2.0", id: 1, method, params };
         let body = serde_json::to_vec(&body).map_err(|_| PeerFailure::NotSent)?;
@@ -152,7 +152,7 @@
             .header(CONTENT_TYPE, HeaderValue::from_static("application/json"))
             .body(Full::new(Bytes::from(body)))
             .map_err(|_| PeerFailure::NotSent)?;
-        let response = match self.client.send(request, time, CALL_BYTES as usize).await {
+        let response = match self.client.send(request, timeout, CALL_BYTES as usize).await {
             Ok(response) => response,
             Err(ClientError::NotSent(_) | ClientError::Refused(_)) => {
                 return Err(PeerFailure::NotSent);
--- a/src/node/process.rs
+++ b/src/node/process.rs
@@ -148,7 +148,7 @@
     }
 }
 
-/// Waits for a stop signal. SIGHUP, for a changed settings file, has no effect: no setting can change while the process
+/// Waits for a stop signal. SIGHUP, sent for a changed settings file, has no effect: no setting can change while the process
 /// runs.
 async fn wait_for_stop() -> Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
--- a/src/node/reachability.rs
+++ b/src/node/reachability.rs
@@ -16,7 +16,7 @@
 use crate::node::view::MemberView;
 
 /// Name of this loop in the log.
-const DUTY: &str = "reach";
+const LOG_NAME: &str = "reach";
 /// Interval between checks of the store's last answer.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum time for an answer: the latency between entries is 2 ms, and a slow machine takes tens of milliseconds.
@@ -58,7 +58,7 @@
         let view = self.shared.members.borrow().clone();
         let leaders = view.leaders_outside(&self.shared.settings.domain);
         if leaders.is_empty() {
-            note_no_leader(&self.shared, DUTY);
+            note_no_leader(&self.shared, LOG_NAME);
             return false;
         }
         let calls = leaders.iter().map(|leader| self.is_leading(&view, leader));
@@ -69,7 +69,7 @@
         let shard = view.shard_led_by(leader);
         let call = LeaderCall::Reach;
         let answer = self.peers.ask(leader.address, &shard, &call, ANSWER_TIMEOUT).await;
-        note_leader_call(&self.shared, DUTY, leader, ANSWER_TIMEOUT, &answer);
+        note_leader_call(&self.shared, LOG_NAME, leader, ANSWER_TIMEOUT, &answer);
         answer == Ok(LeaderAnswer::Leading)
     }
 
--- a/src/node/registry.rs
+++ b/src/node/registry.rs
@@ -18,7 +18,7 @@
 use crate::ring::RingSender;
 
 /// Name of this loop in the log.
-const DUTY: &str = "registrations";
+const LOG_NAME: &str = "registrations";
 /// Maximum wait of a watch call: a dead connection is noticed after this time and the slack of the watch, within the
 /// three seconds that count as a disruption.
 const WATCH_WAIT: Duration = Duration::from_millis(2_000);
@@ -50,14 +50,14 @@
             let store = self.shared.dependencies.store.clone();
             let result = match self.read().await {
                 Ok(after) => {
-                    store.answered(DUTY);
+                    store.answered(LOG_NAME);
                     self.leader.send(LeaderInput::RegistrationsRead).await;
                     self.follow(after).await
                 }
                 Err(error) => Err(error),
             };
             if let Err(error) = result {
-                store.failed(DUTY, error);
+                store.failed(LOG_NAME, error);
                 sleep(RETRY_PAUSE).await;
             }
         }
--- a/src/node/shard_plan.rs
+++ b/src/node/shard_plan.rs
@@ -15,7 +15,7 @@
 use crate::platform::{REGISTRATION_PREFIX, decode_registration};
 
 /// Name of this loop in the log.
-const DUTY: &str = "division";
+const LOG_NAME: &str = "division";
 /// Interval between counts of the registered workers. Workers register every 1.5 s, so all that start together are
 /// counted after one such period.
 const CHECK_INTERVAL: Duration = Duration::from_millis(700);
@@ -49,7 +49,7 @@
                 continue;
             }
             let counted = self.count_workers().await;
-            self.shared.dependencies.store.tried(DUTY, &counted);
+            self.shared.dependencies.store.tried(LOG_NAME, &counted);
             let Ok(workers) = counted else {
                 continue;
             };
@@ -94,6 +94,6 @@
         info!(shards; "proposing a shard plan");
         let result = self.shared.store.transact(&change).await;
         // After a conflict, the members watch delivers the plan of the first proposer.
-        self.shared.dependencies.store.tried(DUTY, &result);
+        self.shared.dependencies.store.tried(LOG_NAME, &result);
     }
 }
--- a/src/node/shared.rs
+++ b/src/node/shared.rs
@@ -44,7 +44,7 @@
     pub(crate) draining: watch::Sender<bool>,
     /// Terms that leaders hand over to this entry when they step down.
     pub(crate) handover_inbox: HandoverInbox,
-    /// Number of inputs that leader loops of this process have taken.
+    /// Number of inputs that leader loops of this process have handled.
     leader_inputs: AtomicU64,
     leading: Mutex<BTreeMap<ShardId, RingSender<LeaderInput>>>,
     store_answered: Mutex<Option<Instant>>,
@@ -85,12 +85,12 @@
         lock(&self.leading).get(shard).cloned()
     }
 
-    /// Counts an input that a leader loop of this process has taken.
+    /// Counts an input that a leader loop of this process has handled.
     pub(crate) fn note_leader_input(&self) {
         self.leader_inputs.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Number of inputs that leader loops of this process have taken.
+    /// Number of inputs that leader loops of this process have handled.
     pub(crate) fn leader_inputs(&self) -> u64 {
         self.leader_inputs.load(Ordering::Relaxed)
     }
@@ -101,8 +101,8 @@
     }
 
     /// Records an answer of the store to a loop.
-    pub(crate) fn note_store_answer(&self, duty: &str) {
-        self.dependencies.store.answered(duty);
+    pub(crate) fn note_store_answer(&self, log_name: &str) {
+        self.dependencies.store.answered(log_name);
         *lock(&self.store_answered) = Some(Instant::now());
     }
 
--- a/src/node/state_queries.rs
+++ b/src/node/state_queries.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum StateUpdate {
     /// The job is in this state.
-    Final(GraphState),
+    Current(GraphState),
     /// The job has ended, but its end is not stored yet; this is the state in the store.
     Ending(GraphState),
     /// The job does not exist.
@@ -71,7 +71,7 @@
 
 fn send_answer(answer: oneshot::Sender<LeaderAnswer>, update: StateUpdate) {
     let reply = match update {
-        StateUpdate::Final(state) | StateUpdate::Ending(state) => LeaderAnswer::State(state),
+        StateUpdate::Current(state) | StateUpdate::Ending(state) => LeaderAnswer::State(state),
         StateUpdate::Gone => LeaderAnswer::Gone,
         StateUpdate::Unsure => LeaderAnswer::NotLeading,
     };
--- a/src/node/takeover_tests.rs
+++ b/src/node/takeover_tests.rs
@@ -50,7 +50,7 @@
 async fn a_term_handed_over_begins_once_the_shard_plan_is_known() {
     let shared = entry_without_plan();
     let term = LeaderTerm { epoch: 2, epoch_revision: 9, predecessor: None };
-    shared.handover_inbox.give(shard(), term);
+    shared.handover_inbox.deliver_term(shard(), term);
     tokio::spawn(ElectionLoop::new(shared.clone()).run());
     sleep(Duration::from_millis(500)).await;
     expect_that!(shared.members.borrow().shard(&shard()).epoch, eq(0));
--- a/src/node/tests.rs
+++ b/src/node/tests.rs
@@ -18,7 +18,7 @@
 use crate::node::handover_inbox::SuccessorOffer;
 use crate::node::keys::{ENTRY_PREFIX, epoch_key, leader_key};
 use crate::node::lateness::LatenessMonitor;
-use crate::node::members::written;
+use crate::node::members::apply_write;
 use crate::node::message::{LeaderAnswer, LeaderCall};
 use crate::node::own_leader::ask_own_leader;
 use crate::node::records::{EntryRecord, EpochRecord, LeaderRecord};
@@ -56,7 +56,8 @@
     }
 }
 
-/// An entry that knows its configuration, its only shard and that shard's leader, and that just had an answer of the store.
+/// An entry that knows its configuration, its only shard and that shard's leader, and that has just had an answer of
+/// the store.
 pub(super) fn entry() -> NodeShared {
     let shared = NodeShared::new(settings());
     let limits = RequestLimits { body_bytes: 1 << 18, head_time: Duration::from_secs(3) };
@@ -176,7 +177,7 @@
     expect_that!(ranks(&view), eq([2, 4, 0, 1, 3]));
 }
 
-// A machine with an eighth of a core that was elected while the strong ones were away is overloaded, but not detected
+// A machine with an eighth of a core that was elected while no strong one was registered is overloaded, but not detected
 // as slow, as it handles many inputs. It has to step down once a strong machine is available.
 #[gtest]
 fn a_weak_leader_detects_a_stronger_machine_that_leads_no_shard() {
@@ -228,11 +229,11 @@
     let mut view = MemberView::default();
     let record = EpochRecord { epoch: 4, holder: None, best: 0.5 };
     let value = Bytes::from(serde_json::to_vec(&record).unwrap());
-    written(&mut view, &KeyItem { key: epoch_key(&only_shard()), value, revision: 9 });
+    apply_write(&mut view, &KeyItem { key: epoch_key(&only_shard()), value, revision: 9 });
     expect_that!(view.best, eq(0.5));
 }
 
-// While a failure domain was cut off, the entries of the others waited for it. When it was reconnected, the waiting time
+// While a failure domain was cut off, the entries of the others waited for it. When it was reconnected, the wait
 // of the others was over: one of them took the shard, and all leaders counted that time as lateness of their timers and
 // stepped down.
 #[gtest]
@@ -290,14 +291,14 @@
     advance(Duration::from_millis(250)).await;
     let events = fail_two_loops(&mut monitor, Duration::from_millis(9_050)).await;
     let lost = DependencyEvent::Lost {
-        duty: "members".to_owned(),
+        log_name: "members".to_owned(),
         failure: "refused".to_owned(),
         answer_age: Some(Duration::from_millis(250)),
         short_losses: 0,
     };
     expect_that!(events.first(), some(eq(&lost)));
     let still = DependencyEvent::StillLost {
-        duties: vec!["election".to_owned(), "members".to_owned()],
+        log_names: vec!["election".to_owned(), "members".to_owned()],
         failure: "refused".to_owned(),
         away: Duration::from_secs(9),
         tries_failed: 181,
@@ -367,7 +368,7 @@
     let before = MemberView { shards: [(only_shard(), led)].into(), ..MemberView::default() };
     for mut view in [before, MemberView::default()] {
         let value = Bytes::from("no json");
-        written(&mut view, &KeyItem { key: epoch_key(&only_shard()), value, revision: 40 });
+        apply_write(&mut view, &KeyItem { key: epoch_key(&only_shard()), value, revision: 40 });
         let led = view.shard(&only_shard());
         expect_that!(led.epoch, eq(40));
         expect_that!(led.epoch_revision, eq(40));
@@ -384,7 +385,7 @@
     for (name, value) in [("e1", record), ("e2", "no json"), ("e3", record), ("e1", "[]")] {
         let item =
             KeyItem { key: format!("{ENTRY_PREFIX}{name}"), value: value.into(), revision: 1 };
-        written(&mut view, &item);
+        apply_write(&mut view, &item);
     }
     let names: Vec<&str> = view.entries.keys().map(|name| &**name).collect();
     expect_that!(names, eq(&vec!["e1", "e3"]));
@@ -397,11 +398,11 @@
 async fn a_state_query_waits_for_a_verdict_that_is_being_stored() {
     let (now, job) = (Instant::now(), GraphId::from("a"));
     let ending = StateUpdate::Ending(GraphState::Running);
-    let stored = StateUpdate::Final(GraphState::Completed);
+    let stored = StateUpdate::Current(GraphState::Completed);
     let mut queries = StateQueries::default();
 
     let (answer, mut answered) = oneshot::channel();
-    queries.answer_or_wait(now, job.clone(), StateUpdate::Final(GraphState::Running), answer);
+    queries.answer_or_wait(now, job.clone(), StateUpdate::Current(GraphState::Running), answer);
     expect_that!(answered.try_recv(), ok(eq(&LeaderAnswer::State(GraphState::Running))));
 
     let (answer, mut answered) = oneshot::channel();
@@ -458,13 +459,13 @@
     let led = ShardView { leader: Some(own), epoch: 5, ..ShardView::default() };
     view.shards.insert(only_shard(), led);
     shared.handover_inbox.set_lease(Some(3));
-    expect_that!(shared.handover_inbox.name(only_shard(), 4), some(eq(3)));
+    expect_that!(shared.handover_inbox.expect_term(only_shard(), 4), some(eq(3)));
     expect_that!(matches!(candidacy.store_state(&view, true), CandidacyState::Unchanged), eq(true));
     advance(Duration::from_millis(1_600)).await;
     expect_that!(matches!(candidacy.store_state(&view, true), CandidacyState::Won(_)), eq(true));
-    // An entry that leaves has no lease and is not named.
+    // An entry that leaves has no lease and does not offer to lead.
     shared.handover_inbox.set_lease(None);
-    expect_that!(shared.handover_inbox.name(only_shard(), 5), none());
+    expect_that!(shared.handover_inbox.expect_term(only_shard(), 5), none());
 }
 
 // A failure domain was cut off together with the leader. Its entries still reached that leader, which could not store
--- a/src/node/view.rs
+++ b/src/node/view.rs
@@ -37,7 +37,7 @@
     }
 
     /// Removes the leader after its key was removed from the store. A leader whose election the watch has not reached
-    /// yet stays, as the removed key was an earlier one's.
+    /// yet stays, as the removed key was that of an earlier leader.
     pub(crate) fn forget_leader(&mut self) {
         if self.leader.as_ref().is_some_and(|leader| leader.epoch <= self.epoch) {
             self.leader = None;
@@ -114,10 +114,10 @@
     /// machines, then those of the shard's failure domain. Equal candidates are rotated, so that the shards of one
     /// domain begin with different entries.
     pub(crate) fn rank(&self, shard: &ShardId, entry: &EntryId) -> CandidateRank {
-        let place = self.plan.as_ref().and_then(|plan| plan.domain_and_index(shard));
+        let location = self.plan.as_ref().and_then(|plan| plan.domain_and_index(shard));
         let best = self.best_registered();
         let is_away =
-            |record: &EntryRecord| place.is_some_and(|(domain, _)| *domain != record.domain);
+            |record: &EntryRecord| location.is_some_and(|(domain, _)| *domain != record.domain);
         let order = |(name, record): (&EntryId, &EntryRecord)| {
             let weak = record.processor < best * STRONG_SHARE;
             let shortfall = (best - record.processor) * 1_000.0;
@@ -129,7 +129,7 @@
         let before = self.entries.iter().filter(|candidate| order(*candidate) < own).count();
         let equal = self.entries.iter().filter(|candidate| order(*candidate) == own);
         let equal: Vec<&EntryId> = equal.map(|(name, _)| name).collect();
-        let offset = place.map_or(0, |(_, part)| part as usize) % equal.len().max(1);
+        let offset = location.map_or(0, |(_, index)| index as usize) % equal.len().max(1);
         let index = equal.iter().position(|name| *name == entry).unwrap_or(0);
         let turn = (index + equal.len() - offset) % equal.len().max(1);
         let before = u32::try_from(before + turn).unwrap_or(u32::MAX);
@@ -140,11 +140,11 @@
     /// no other shard, strong machines, entries of the shard's failure domain, then the latest to register, as a
     /// rolling restart has already reached those.
     pub(crate) fn successors(&self, shard: &ShardId, leaving: &EntryId) -> Vec<SocketAddr> {
-        let place = self.plan.as_ref().and_then(|plan| plan.domain_and_index(shard));
+        let location = self.plan.as_ref().and_then(|plan| plan.domain_and_index(shard));
         let best = self.best_registered();
         let order = |(name, record): &(&EntryId, &EntryRecord)| {
             let weak = record.processor < best * STRONG_SHARE;
-            let in_other_domain = place.is_some_and(|(domain, _)| *domain != record.domain);
+            let in_other_domain = location.is_some_and(|(domain, _)| *domain != record.domain);
             (self.leads_other(shard, name), weak, in_other_domain, Reverse(record.revision))
         };
         let others = self.entries.iter().filter(|(name, _)| *name != leaving);
@@ -155,8 +155,8 @@
 
     /// Whether no entry of a shard's failure domain is registered.
     pub(crate) fn is_cut_off(&self, shard: &ShardId) -> bool {
-        let place = self.plan.as_ref().and_then(|plan| plan.domain_and_index(shard));
-        place.is_some_and(|(domain, _)| {
+        let location = self.plan.as_ref().and_then(|plan| plan.domain_and_index(shard));
+        location.is_some_and(|(domain, _)| {
             !self.entries.values().any(|record| record.domain == *domain)
         })
     }
--- a/src/platform/empty_store.rs
+++ b/src/platform/empty_store.rs
@@ -17,12 +17,12 @@
     lease: Mutex<Option<u64>>,
     /// Whether transactions are carried out but never answered.
     pub(crate) loses_answers: AtomicBool,
-    /// Number of transactions that were not answered.
-    pub(crate) lost: AtomicU64,
+    /// Number of transactions whose answers were lost.
+    pub(crate) lost_transactions: AtomicU64,
     /// Whether transactions are carried out and their answers delayed until this is unset.
     pub(crate) delays_answers: AtomicBool,
     /// Number of transactions whose answers were not lost.
-    pub(crate) changes: AtomicU64,
+    pub(crate) transactions: AtomicU64,
 }
 
 impl EmptyStore {
@@ -67,11 +67,11 @@
                 Some((200, format!("{{\"lease\":{lease},\"ttl_ms\":1000}}")))
             }
             "/api/kv-txn" if self.loses_answers.load(Ordering::Relaxed) => {
-                self.lost.fetch_add(1, Ordering::Relaxed);
+                self.lost_transactions.fetch_add(1, Ordering::Relaxed);
                 None
             }
             "/api/kv-txn" => {
-                self.changes.fetch_add(1, Ordering::Relaxed);
+                self.transactions.fetch_add(1, Ordering::Relaxed);
                 Some((200, "{\"revision\":9}".to_owned()))
             }
             path if path.starts_with("/api/kv-range") => {
--- a/src/platform/http.rs
+++ b/src/platform/http.rs
@@ -19,7 +19,7 @@
 
 /// A call to make.
 pub(super) struct JsonCall<'c> {
-    /// Value of the metrics' label `line`.
+    /// Value of the metric label `line`.
     pub(super) line: &'static str,
     pub(super) method: Method,
     pub(super) address: SocketAddr,
--- a/src/platform/jobs.rs
+++ b/src/platform/jobs.rs
@@ -23,10 +23,10 @@
 /// Upper bound of a caller's timeout, twenty times the usual one. It limits how long an entry keeps
 /// trying to reach a leader.
 const MAX_CALLER_TIMEOUT: Duration = Duration::from_secs(60);
-/// Largest number of mistakes listed in a refusal.
-const MAX_MISTAKES: usize = 10;
-/// Longest text of a mistake, in characters. The text of a syntax error may quote the body.
-const MAX_MISTAKE_CHARACTERS: usize = 200;
+/// Maximum number of validation errors listed in a refusal.
+const MAX_VALIDATION_ERRORS: usize = 10;
+/// Maximum length of the text of a validation error, in characters. The text of a syntax error may quote the body.
+const MAX_ERROR_CHARACTERS: usize = 200;
 
 /// A boolean that may be written as a number.
 #[derive(Clone, Copy, Debug, Default)]
@@ -110,14 +110,14 @@
 /// Decodes a job of a queue.
 ///
 /// # Errors
-/// Returns the first mistakes together, as texts for the caller.
+/// Returns the first validation errors, as texts for the caller.
 pub(crate) fn decode_job(
     queue: &QueueId,
     name: &str,
     body: &[u8],
     accepted: UnixMillis,
 ) -> Result<GraphSpec, Vec<String>> {
-    let truncated = |text: String| text.chars().take(MAX_MISTAKE_CHARACTERS).collect();
+    let truncated = |text: String| text.chars().take(MAX_ERROR_CHARACTERS).collect();
     let wire: WireJob =
         serde_json::from_slice(body).map_err(|error| vec![truncated(error.to_string())])?;
     let mut validation_errors = Vec::new();
@@ -144,7 +144,7 @@
         accepted,
     };
     validation_errors.extend(spec.validation_errors());
-    validation_errors.truncate(MAX_MISTAKES);
+    validation_errors.truncate(MAX_VALIDATION_ERRORS);
     match validation_errors.is_empty() {
         true => Ok(spec),
         false => Err(validation_errors),
--- a/src/platform/registrations.rs
+++ b/src/platform/registrations.rs
@@ -25,13 +25,13 @@
 #[derive(Error)]
 pub(crate) enum RegistrationError {
     /// The worker id in the key is empty or not valid in an HTTP header.
-    #[error("its key names no worker")]
+    #[error("the key contains no valid worker id")]
     Key,
     /// The value is not valid JSON, or a field is missing or of another type.
-    #[error("it cannot be read: {0}")]
+    #[error("unreadable value: {0}")]
     Value(#[from] serde_json::Error),
     /// A field has an invalid value.
-    #[error("its {0} means nothing")]
+    #[error("invalid {0}")]
     Field(&'static str),
 }
 
--- a/src/platform/tests.rs
+++ b/src/platform/tests.rs
@@ -169,7 +169,7 @@
     expect_that!(page.revision, eq(9));
 }
 
-/// Guards against a listing that cannot continue: the next page begins after a key, and with a reserved
+/// Guards against a read of several pages that cannot continue: the next page begins after a key, and with a reserved
 /// character in that key the same page was read repeatedly, or none.
 #[gtest]
 fn reserved_characters_of_a_key_are_escaped_in_a_query() {
--- a/src/platform/workers.rs
+++ b/src/platform/workers.rs
@@ -106,7 +106,7 @@
     /// Epoch of the calling leader.
     pub(crate) epoch: LeaderEpoch,
     /// Timeout of a call.
-    pub(crate) time: Duration,
+    pub(crate) timeout: Duration,
 }
 
 /// A client that calls any worker.
@@ -135,7 +135,7 @@
             checkpoint: &command.checkpoint,
             ticket: command.ticket.as_deref(),
         };
-        self.command(&command.worker, command.address, START_PATH, &body, context.time).await
+        self.command(&command.worker, command.address, START_PATH, &body, context.timeout).await
     }
 
     /// Stops a run. A run that has not started will be refused from then on.
@@ -148,7 +148,7 @@
         run: RunNumber,
     ) -> CommandResult {
         let body = WireStop { task: task.to_string(), run, fencing_token: context.epoch };
-        self.command(worker, address, STOP_PATH, &body, context.time).await
+        self.command(worker, address, STOP_PATH, &body, context.timeout).await
     }
 
     /// Limits a run to a percentage of its full speed.
@@ -163,7 +163,7 @@
     ) -> CommandResult {
         let body =
             WireThrottle { task: task.to_string(), run, percent, fencing_token: context.epoch };
-        self.command(worker, address, THROTTLE_PATH, &body, context.time).await
+        self.command(worker, address, THROTTLE_PATH, &body, context.timeout).await
     }
 
     /// Polls a worker: lists its runs and ends, renews its lease and acknowledges ends.
@@ -182,8 +182,9 @@
             ack_cursor: acked,
             wait_ms: (!wait.is_zero()).then(|| millis(wait)),
         };
-        let response =
-            self.call(worker, address, POLL_PATH, &body, wait + context.time + POLL_SLACK).await?;
+        let response = self
+            .call(worker, address, POLL_PATH, &body, wait + context.timeout + POLL_SLACK)
+            .await?;
         let answer: WirePollAnswer = read_json(&response).map_err(call_failure)?;
         let ended = answer.finished.into_iter().filter_map(end_report).collect();
         let running = answer.running.into_iter().filter_map(run_report).collect();
