--- a/src/node/dependency.rs
+++ b/src/node/dependency.rs
@@ -108,13 +108,13 @@
     fn log_event(&self, event: DependencyEvent) {
         let dependency = self.name;
         match event {
-            DependencyEvent::Lost { log_name, failure, answer_age, short_losses } => {
+            DependencyEvent::Lost { duty, failure, answer_age, short_losses } => {
                 let answer_age_ms =
                     answer_age.map_or("none".to_owned(), |age| millis(age).to_string());
-                warn!(dependency, duty = log_name, failure, answer_age_ms, short_losses; "a dependency is lost");
+                warn!(dependency, duty, failure, answer_age_ms, short_losses; "a dependency is lost");
             }
-            DependencyEvent::StillLost { log_names, failure, away, tries_failed } => {
-                let (duties, away_ms) = (log_names.join(", "), millis(away));
+            DependencyEvent::StillLost { duties, failure, away, tries_failed } => {
+                let (duties, away_ms) = (duties.join(", "), millis(away));
                 warn!(dependency, duties, failure, away_ms, tries_failed; "a dependency is still lost");
             }
             DependencyEvent::Back { away, tries_failed } => {
--- a/src/node/dependency/monitor.rs
+++ b/src/node/dependency/monitor.rs
@@ -38,7 +38,8 @@
 pub(crate) enum DependencyEvent {
     /// A first call has failed.
     Lost {
-        log_name: String,
+        /// Name of the loop in the log.
+        duty: String,
         failure: String,
         /// Age of the last answer; `None` if there was none yet.
         answer_age: Option<Duration>,
@@ -47,8 +48,8 @@
     },
     /// Calls continue to fail.
     StillLost {
-        /// All loops whose calls fail now.
-        log_names: Vec<String>,
+        /// Names of all loops whose calls fail now.
+        duties: Vec<String>,
         /// Failure of the last call.
         failure: String,
         away: Duration,
@@ -119,13 +120,13 @@
         }
         self.last_line = Some(now);
         if loss.reported {
-            let log_names = loss.failing.keys().cloned().collect();
+            let duties = loss.failing.keys().cloned().collect();
             let (away, tries_failed) = (loss.away(), loss.tries_failed);
-            return Some(DependencyEvent::StillLost { log_names, failure, away, tries_failed });
+            return Some(DependencyEvent::StillLost { duties, failure, away, tries_failed });
         }
         loss.reported = true;
         Some(DependencyEvent::Lost {
-            log_name: log_name.to_owned(),
+            duty: log_name.to_owned(),
             failure,
             answer_age: self.answered.map(|at| now.saturating_duration_since(at)),
             short_losses: std::mem::take(&mut self.short_losses),
--- a/src/node/tests.rs
+++ b/src/node/tests.rs
@@ -291,14 +291,14 @@
     advance(Duration::from_millis(250)).await;
     let events = fail_two_loops(&mut monitor, Duration::from_millis(9_050)).await;
     let lost = DependencyEvent::Lost {
-        log_name: "members".to_owned(),
+        duty: "members".to_owned(),
         failure: "refused".to_owned(),
         answer_age: Some(Duration::from_millis(250)),
         short_losses: 0,
     };
     expect_that!(events.first(), some(eq(&lost)));
     let still = DependencyEvent::StillLost {
-        log_names: vec!["election".to_owned(), "members".to_owned()],
+        duties: vec!["election".to_owned(), "members".to_owned()],
         failure: "refused".to_owned(),
         away: Duration::from_secs(9),
         tries_failed: 181,
