--- a/src/client.rs
+++ b/src/client.rs
@@ -45,11 +45,11 @@
 impl HttpClient {
     /// Creates a client with an empty pool.
     pub(crate) fn new() -> Self {
-        Self::with_connect_time(CONNECT_TIMEOUT)
+        Self::with_connect_timeout(CONNECT_TIMEOUT)
     }
 
     /// Creates a client with an empty pool and the given timeout for establishing a connection.
-    pub(crate) fn with_connect_time(connect_timeout: Duration) -> Self {
+    pub(crate) fn with_connect_timeout(connect_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(connect_timeout));
--- a/src/graph/controller.rs
+++ b/src/graph/controller.rs
@@ -202,7 +202,7 @@
     }
 
     /// Switches to a later epoch of the same leader; no other leader was elected in between.
-    pub fn renewed(&mut self, epoch: LeaderEpoch) {
+    pub fn renew_epoch(&mut self, epoch: LeaderEpoch) {
         info!(epoch, before = self.epoch; "leadership renewed under a new epoch");
         self.epoch = epoch;
     }
--- a/src/node/leader.rs
+++ b/src/node/leader.rs
@@ -254,7 +254,7 @@
                 self.in_doubt = false;
                 self.ledger.renew(epoch, revision);
                 executor.set_epoch(epoch);
-                controller.renewed(epoch);
+                controller.renew_epoch(epoch);
             }
             LeaderInput::Dump(answer) => {
                 let _ = answer.send(dump(controller));
--- a/src/node/peers.rs
+++ b/src/node/peers.rs
@@ -74,7 +74,7 @@
 
 impl PeerClient {
     pub(crate) fn new() -> Self {
-        let client = HttpClient::with_connect_time(CONNECT_TIMEOUT);
+        let client = HttpClient::with_connect_timeout(CONNECT_TIMEOUT);
         Self { client, unresponsive: Arc::default() }
     }
 
